--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -70,21 +70,21 @@
 	case KillControl:
 		f.down(ctx, duration, syscall.SIGKILL, f.Control[fault.Target%len(f.Control)])
 	case KillAll:
-		f.down(ctx, duration, syscall.SIGKILL, f.all()...)
+		f.down(ctx, duration, syscall.SIGKILL, f.allProcesses()...)
 	case PauseGateway:
 		f.pause(ctx, duration, gateway)
 	case PauseLeader:
 		f.pause(ctx, duration, f.Control[f.Leader()])
 	case CutLeader:
-		f.silence(ctx, duration, f.linksOf(f.Control[f.Leader()], f.all(), true))
+		f.silence(ctx, duration, f.linksOf(f.Control[f.Leader()], f.allProcesses(), true))
 	case CutOneWay:
-		f.silence(ctx, duration, f.linksOf(f.Control[f.Leader()], f.all(), false))
+		f.silence(ctx, duration, f.linksOf(f.Control[f.Leader()], f.allProcesses(), false))
 	case CutGateway:
 		f.silence(ctx, duration, f.linksOf(gateway, f.Control, true))
 	case DelayLinks:
-		f.delay(ctx, duration, f.linksOf(gateway, f.all(), true))
+		f.delay(ctx, duration, f.linksOf(gateway, f.allProcesses(), true))
 	case ResetLinks:
-		for _, other := range f.all() {
+		for _, other := range f.allProcesses() {
 			f.Proxy.Reset(gateway.Name, other.Name)
 		}
 	case ResetControl:
@@ -98,7 +98,7 @@
 	case ChangeSetting:
 		f.ChangeSetting(ctx)
 	case Reload:
-		for _, p := range f.all() {
+		for _, p := range f.allProcesses() {
 			p.Signal(syscall.SIGHUP)
 		}
 	case FatalRequest:
@@ -128,7 +128,9 @@
 	}
 }
 
-func (f *Fleet) all() []*Process { return append(append([]*Process{}, f.Control...), f.Gateways...) }
+func (f *Fleet) allProcesses() []*Process {
+	return append(append([]*Process{}, f.Control...), f.Gateways...)
+}
 
 // linksOf returns the links from a process to others, and back where both is set.
 func (f *Fleet) linksOf(p *Process, others []*Process, both bool) []Link {
