--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -64,13 +64,13 @@
 	gateway := f.Gateways[fault.Target%len(f.Gateways)]
 	switch fault.Kind {
 	case KillGateway:
-		f.down(ctx, duration, syscall.SIGKILL, gateway)
+		f.stopFor(ctx, duration, syscall.SIGKILL, gateway)
 	case StopGateway:
-		f.down(ctx, duration, syscall.SIGTERM, gateway)
+		f.stopFor(ctx, duration, syscall.SIGTERM, gateway)
 	case KillControl:
-		f.down(ctx, duration, syscall.SIGKILL, f.Control[fault.Target%len(f.Control)])
+		f.stopFor(ctx, duration, syscall.SIGKILL, f.Control[fault.Target%len(f.Control)])
 	case KillAll:
-		f.down(ctx, duration, syscall.SIGKILL, f.allProcesses()...)
+		f.stopFor(ctx, duration, syscall.SIGKILL, f.allProcesses()...)
 	case PauseGateway:
 		f.pause(ctx, duration, gateway)
 	case PauseLeader:
@@ -147,8 +147,8 @@
 	return links
 }
 
-// down ends processes for a time. One that is down already starts with the first fault that heals.
-func (f *Fleet) down(ctx context.Context, length time.Duration, signal syscall.Signal, processes ...*Process) {
+// stopFor ends processes for a time. One that is stopFor already starts with the first fault that heals.
+func (f *Fleet) stopFor(ctx context.Context, length time.Duration, signal syscall.Signal, processes ...*Process) {
 	var ends sync.WaitGroup
 	for _, p := range processes {
 		ends.Go(func() { p.End(signal) })
