--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -76,11 +76,11 @@
 	case PauseLeader:
 		f.pause(ctx, duration, f.Control[f.Leader()])
 	case CutLeader:
-		f.silence(ctx, duration, f.linksOf(f.Control[f.Leader()], f.allProcesses(), true))
+		f.block(ctx, duration, f.linksOf(f.Control[f.Leader()], f.allProcesses(), true))
 	case CutOneWay:
-		f.silence(ctx, duration, f.linksOf(f.Control[f.Leader()], f.allProcesses(), false))
+		f.block(ctx, duration, f.linksOf(f.Control[f.Leader()], f.allProcesses(), false))
 	case CutGateway:
-		f.silence(ctx, duration, f.linksOf(gateway, f.Control, true))
+		f.block(ctx, duration, f.linksOf(gateway, f.Control, true))
 	case DelayLinks:
 		f.delay(ctx, duration, f.linksOf(gateway, f.allProcesses(), true))
 	case ResetLinks:
@@ -166,7 +166,7 @@
 	p.Signal(syscall.SIGCONT)
 }
 
-func (f *Fleet) silence(ctx context.Context, length time.Duration, links []Link) {
+func (f *Fleet) block(ctx context.Context, length time.Duration, links []Link) {
 	for _, link := range links {
 		f.Proxy.Silence(link)
 	}
