--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -10,8 +10,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// endPatience is how long a process may take to end once it was told to.
-const endPatience = 12 * time.Second
+// stopTimeout is how long a process may take to end once it was told to.
+const stopTimeout = 12 * time.Second
 
 // Process is one program under test. It is started again after it was killed.
 type Process struct {
@@ -95,7 +95,7 @@
 	select {
 	case <-ended:
 		return true
-	case <-time.After(endPatience):
+	case <-time.After(stopTimeout):
 	}
 	_ = command.Process.Kill()
 	<-ended
