--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -19,8 +19,8 @@
 	Env  []string // beside the soak's own
 	Args []string // the program comes first
 	Log  string   // file that it writes to
-	// Other is another build of the program, or "". Each start takes the one that the last start didn't take.
-	Other string
+	// AlternateBuild is another build of the program, or "". Each start takes the one that the last start didn't take.
+	AlternateBuild string
 
 	mu      sync.Mutex
 	starts  int           // so far; guarded by mu
@@ -66,8 +66,8 @@
 
 // build returns the program that the next start takes. The caller holds mu.
 func (p *Process) build() string {
-	if p.Other != "" && p.starts%2 == 1 {
-		return p.Other
+	if p.AlternateBuild != "" && p.starts%2 == 1 {
+		return p.AlternateBuild
 	}
 	return p.Args[0]
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -46,7 +46,7 @@
 		return path
 	}
 	older, newer := build("older"), build("newer")
-	mixed := &Process{Name: "mixed", Args: []string{older}, Other: newer, Log: filepath.Join(folder, "mixed.log")}
+	mixed := &Process{Name: "mixed", Args: []string{older}, AlternateBuild: newer, Log: filepath.Join(folder, "mixed.log")}
 	plain := &Process{Name: "plain", Args: []string{older}, Log: filepath.Join(folder, "plain.log")}
 	for _, wanted := range []string{older, newer, older} {
 		if mixed.build() != wanted || plain.build() != older {
