--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -22,12 +22,12 @@
 	// AlternateBuild is another build of the program, or "". Each start takes the one that the last start didn't take.
 	AlternateBuild string
 
-	mu      sync.Mutex
-	starts  int           // so far; guarded by mu
-	command *exec.Cmd     // nil while it does not run; guarded by mu
-	ended   chan struct{} // closed once command has ended; guarded by mu
-	wanted  bool          // it was not told to end; guarded by mu
-	own     int           // ends that nobody asked for; guarded by mu
+	mu        sync.Mutex
+	starts    int           // so far; guarded by mu
+	command   *exec.Cmd     // nil while it does not run; guarded by mu
+	ended     chan struct{} // closed once command has ended; guarded by mu
+	shouldRun bool          // it was not told to end; guarded by mu
+	own       int           // ends that nobody asked for; guarded by mu
 }
 
 // Start starts the process, unless it runs.
@@ -49,12 +49,12 @@
 		return eris.Wrapf(err, "start %s", p.Name)
 	}
 	ended := make(chan struct{})
-	p.command, p.ended, p.wanted = command, ended, true
+	p.command, p.ended, p.shouldRun = command, ended, true
 	go func() {
 		_ = command.Wait() // how it ended is told by whether it was wanted
 		_ = log.Close()
 		p.mu.Lock()
-		if p.wanted {
+		if p.shouldRun {
 			p.own++
 		}
 		p.command = nil
@@ -85,7 +85,7 @@
 func (p *Process) End(signal syscall.Signal) bool {
 	p.mu.Lock()
 	command, ended := p.command, p.ended
-	p.wanted = false
+	p.shouldRun = false
 	p.mu.Unlock()
 	if command == nil {
 		return true
