--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -22,12 +22,12 @@
 	// AlternateBuild is another build of the program, or "". Each start takes the one that the last start didn't take.
 	AlternateBuild string
 
-	mu        sync.Mutex
-	starts    int           // so far; guarded by mu
-	command   *exec.Cmd     // nil while it does not run; guarded by mu
-	ended     chan struct{} // closed once command has ended; guarded by mu
-	shouldRun bool          // it was not told to end; guarded by mu
-	own       int           // ends that nobody asked for; guarded by mu
+	mu              sync.Mutex
+	starts          int           // so far; guarded by mu
+	command         *exec.Cmd     // nil while it does not run; guarded by mu
+	ended           chan struct{} // closed once command has ended; guarded by mu
+	shouldRun       bool          // it was not told to end; guarded by mu
+	unexpectedExits int           // ends that nobody asked for; guarded by mu
 }
 
 // Start starts the process, unless it runs.
@@ -55,7 +55,7 @@
 		_ = log.Close()
 		p.mu.Lock()
 		if p.shouldRun {
-			p.own++
+			p.unexpectedExits++
 		}
 		p.command = nil
 		p.mu.Unlock()
@@ -116,5 +116,5 @@
 func (p *Process) OwnEnds() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.own
+	return p.unexpectedExits
 }
