--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return eris.Wrap(err, "open the log of a process")
 	}
-	command := exec.Command(p.build(), p.Args[1:]...)
+	command := exec.Command(p.nextBuild(), p.Args[1:]...)
 	p.starts++
 	command.Env = append(os.Environ(), p.Env...)
 	command.Stdout, command.Stderr = log, log
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// build returns the program that the next start takes. The caller holds mu.
-func (p *Process) build() string {
+// nextBuild returns the program that the next start takes. The caller holds mu.
+func (p *Process) nextBuild() string {
 	if p.AlternateBuild != "" && p.starts%2 == 1 {
 		return p.AlternateBuild
 	}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -49,8 +49,8 @@
 	mixed := &Process{Name: "mixed", Args: []string{older}, AlternateBuild: newer, Log: filepath.Join(folder, "mixed.log")}
 	plain := &Process{Name: "plain", Args: []string{older}, Log: filepath.Join(folder, "plain.log")}
 	for _, wanted := range []string{older, newer, older} {
-		if mixed.build() != wanted || plain.build() != older {
-			t.Fatalf("%s and %s are next, wanted %s and %s", mixed.build(), plain.build(), wanted, older)
+		if mixed.nextBuild() != wanted || plain.nextBuild() != older {
+			t.Fatalf("%s and %s are next, wanted %s and %s", mixed.nextBuild(), plain.nextBuild(), wanted, older)
 		}
 		for _, p := range []*Process{mixed, plain} {
 			if err := p.Start(); err != nil {
