--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// End ends the process by a signal and reports whether it ended in time; else it is killed.
-func (p *Process) End(signal syscall.Signal) bool {
+// Stop ends the process by a signal and reports whether it ended in time; else it is killed.
+func (p *Process) Stop(signal syscall.Signal) bool {
 	p.mu.Lock()
 	command, ended := p.command, p.ended
 	p.shouldRun = false
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -151,7 +151,7 @@
 func (f *Fleet) stopFor(ctx context.Context, length time.Duration, signal syscall.Signal, processes ...*Process) {
 	var ends sync.WaitGroup
 	for _, p := range processes {
-		ends.Go(func() { p.End(signal) })
+		ends.Go(func() { p.Stop(signal) })
 	}
 	ends.Wait()
 	Sleep(ctx, length)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -56,7 +56,7 @@
 			if err := p.Start(); err != nil {
 				t.Fatal(err)
 			}
-			p.End(syscall.SIGKILL)
+			p.Stop(syscall.SIGKILL)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer p.End(9)
+	defer p.Stop(9)
 	opener, near := connected(t)
 	if name := Owner([]*Process{p}, near); name != "" {
 		t.Fatalf("a connection of ours is %q's", name)
@@ -306,7 +306,7 @@
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		defer p.End(9)
+		defer p.Stop(9)
 	}
 	near, err := listener.Accept()
 	if err != nil {
