--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -23,7 +23,7 @@
 	}
 	wanted := "socket:[" + strconv.FormatUint(uint64(inode), 10) + "]"
 	for _, p := range processes {
-		if id := p.ID(); id > 0 && holds(id, wanted) {
+		if id := p.PID(); id > 0 && holds(id, wanted) {
 			return p.Name
 		}
 	}
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -102,8 +102,8 @@
 	return false
 }
 
-// ID returns the process's number, or 0.
-func (p *Process) ID() int {
+// PID returns the process's number, or 0.
+func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command == nil {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -279,7 +279,7 @@
 	}
 	inode := inodeOf(endOf(near.RemoteAddr()), endOf(near.LocalAddr()))
 	wanted := fmt.Sprintf("socket:[%d]", inode)
-	if inode == 0 || !holds(os.Getpid(), wanted) || holds(p.ID(), wanted) {
+	if inode == 0 || !holds(os.Getpid(), wanted) || holds(p.PID(), wanted) {
 		t.Fatalf("a connection of ours is not found: %s", wanted)
 	}
 	if other := inodeOf(endOf(opener.RemoteAddr()), endOf(opener.LocalAddr())); other == 0 || other == inode {
