--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -112,8 +112,8 @@
 	return p.command.Process.Pid
 }
 
-// OwnEnds returns how often it ended without being told to.
-func (p *Process) OwnEnds() int {
+// UnexpectedExits returns how often it ended without being told to.
+func (p *Process) UnexpectedExits() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.unexpectedExits
