--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// relayChunk is how much is passed on at once.
-	relayChunk = 32 << 10
+	// copyBufferSize is how much is passed on at once.
+	copyBufferSize = 32 << 10
 	// dialTimeout is how long the far side may take to accept.
 	dialTimeout = 2 * time.Second
 	// heldPoll is how often a held connection looks whether it may go on.
@@ -95,7 +95,7 @@
 
 // pass copies one direction, and ends it at the other side as it ended here.
 func (p *Proxy) pass(from, to net.Conn, link Link) {
-	buffer := make([]byte, relayChunk)
+	buffer := make([]byte, copyBufferSize)
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 && p.mayPass(link) {
