--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -14,8 +14,8 @@
 	copyBufferSize = 32 << 10
 	// dialTimeout is how long the far side may take to accept.
 	dialTimeout = 2 * time.Second
-	// heldPoll is how often a held connection looks whether it may go on.
-	heldPoll = 10 * time.Millisecond
+	// blockedPollInterval is how often a held connection looks whether it may go on.
+	blockedPollInterval = 10 * time.Millisecond
 )
 
 // Link names the direction from one process to another.
@@ -142,7 +142,7 @@
 		select {
 		case <-p.done:
 			return false
-		case <-time.After(heldPoll):
+		case <-time.After(blockedPollInterval):
 		}
 	}
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -211,7 +211,7 @@
 	if _, err := io.WriteString(near, "y"); err != nil {
 		t.Fatal(err)
 	}
-	_ = far.SetReadDeadline(time.Now().Add(5 * heldPoll))
+	_ = far.SetReadDeadline(time.Now().Add(5 * blockedPollInterval))
 	if _, err := far.Read(make([]byte, 1)); err == nil {
 		t.Fatal("it passed a silent link")
 	}
