--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -26,7 +26,7 @@
 	owner func(net.Conn) string // process that opened a connection that came to us, or ""
 
 	mu        sync.Mutex
-	silent    map[Link]int           // faults that hold what travels; guarded by mu
+	blocked   map[Link]int           // faults that hold what travels; guarded by mu
 	delays    map[Link]time.Duration // guarded by mu
 	open      map[*relay]struct{}    // guarded by mu
 	listeners []net.Listener         // guarded by mu
@@ -43,7 +43,7 @@
 // NewProxy returns a proxy; owner names the process that opened a connection.
 func NewProxy(owner func(net.Conn) string) *Proxy {
 	return &Proxy{
-		owner: owner, silent: map[Link]int{}, delays: map[Link]time.Duration{}, open: map[*relay]struct{}{}, done: make(chan struct{}),
+		owner: owner, blocked: map[Link]int{}, delays: map[Link]time.Duration{}, open: map[*relay]struct{}{}, done: make(chan struct{}),
 	}
 }
 
@@ -134,7 +134,7 @@
 	}
 	for {
 		p.mu.Lock()
-		silent := p.silent[link] > 0
+		silent := p.blocked[link] > 0
 		p.mu.Unlock()
 		if !silent {
 			return true
@@ -151,14 +151,14 @@
 func (p *Proxy) Silence(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silent[link]++
+	p.blocked[link]++
 }
 
 // Heal takes one Silence back.
 func (p *Proxy) Heal(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silent[link]--
+	p.blocked[link]--
 }
 
 // Delay makes everything on a link take so much longer; 0 ends that.
