--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -134,9 +134,9 @@
 	}
 	for {
 		p.mu.Lock()
-		silent := p.blocked[link] > 0
+		blocked := p.blocked[link] > 0
 		p.mu.Unlock()
-		if !silent {
+		if !blocked {
 			return true
 		}
 		select {
