--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -25,13 +25,13 @@
 type Proxy struct {
 	owner func(net.Conn) string // process that opened a connection that came to us, or ""
 
-	mu        sync.Mutex
-	blocked   map[Link]int           // faults that hold what travels; guarded by mu
-	delays    map[Link]time.Duration // guarded by mu
-	open      map[*relay]struct{}    // guarded by mu
-	listeners []net.Listener         // guarded by mu
-	threads   sync.WaitGroup
-	done      chan struct{}
+	mu         sync.Mutex
+	blocked    map[Link]int           // faults that hold what travels; guarded by mu
+	delays     map[Link]time.Duration // guarded by mu
+	open       map[*relay]struct{}    // guarded by mu
+	listeners  []net.Listener         // guarded by mu
+	goroutines sync.WaitGroup
+	done       chan struct{}
 }
 
 // relay is one connection that is carried.
@@ -56,13 +56,13 @@
 	p.mu.Lock()
 	p.listeners = append(p.listeners, listener)
 	p.mu.Unlock()
-	p.threads.Go(func() {
+	p.goroutines.Go(func() {
 		for {
 			near, err := listener.Accept()
 			if err != nil {
 				return // closed
 			}
-			p.threads.Go(func() { p.carry(near, to, target) })
+			p.goroutines.Go(func() { p.carry(near, to, target) })
 		}
 	})
 	return nil
@@ -192,5 +192,5 @@
 		abort(r.far)
 	}
 	p.mu.Unlock()
-	p.threads.Wait()
+	p.goroutines.Wait()
 }
