--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -26,16 +26,16 @@
 	owner func(net.Conn) string // process that opened a connection that came to us, or ""
 
 	mu         sync.Mutex
-	blocked    map[Link]int           // faults that hold what travels; guarded by mu
-	delays     map[Link]time.Duration // guarded by mu
-	open       map[*relay]struct{}    // guarded by mu
-	listeners  []net.Listener         // guarded by mu
+	blocked    map[Link]int              // faults that hold what travels; guarded by mu
+	delays     map[Link]time.Duration    // guarded by mu
+	open       map[*proxiedConn]struct{} // guarded by mu
+	listeners  []net.Listener            // guarded by mu
 	goroutines sync.WaitGroup
 	done       chan struct{}
 }
 
-// relay is one connection that is carried.
-type relay struct {
+// proxiedConn is one connection that is carried.
+type proxiedConn struct {
 	from, to  string
 	near, far net.Conn
 }
@@ -43,7 +43,7 @@
 // NewProxy returns a proxy; owner names the process that opened a connection.
 func NewProxy(owner func(net.Conn) string) *Proxy {
 	return &Proxy{
-		owner: owner, blocked: map[Link]int{}, delays: map[Link]time.Duration{}, open: map[*relay]struct{}{}, done: make(chan struct{}),
+		owner: owner, blocked: map[Link]int{}, delays: map[Link]time.Duration{}, open: map[*proxiedConn]struct{}{}, done: make(chan struct{}),
 	}
 }
 
@@ -80,7 +80,7 @@
 		return
 	}
 	defer far.Close()
-	r := &relay{from: from, to: to, near: near, far: far}
+	r := &proxiedConn{from: from, to: to, near: near, far: far}
 	p.mu.Lock()
 	p.open[r] = struct{}{}
 	p.mu.Unlock()
