--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -62,14 +62,14 @@
 			if err != nil {
 				return // closed
 			}
-			p.goroutines.Go(func() { p.carry(near, to, target) })
+			p.goroutines.Go(func() { p.handle(near, to, target) })
 		}
 	})
 	return nil
 }
 
-// carry passes one connection on, in both directions, until one side ends.
-func (p *Proxy) carry(near net.Conn, to, target string) {
+// handle passes one connection on, in both directions, until one side ends.
+func (p *Proxy) handle(near net.Conn, to, target string) {
 	defer near.Close()
 	from := p.owner(near)
 	if !p.mayPass(Link{from, to}) || !p.mayPass(Link{to, from}) {
