--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Carry listens at an address and passes connections on to a process's own one.
-func (p *Proxy) Carry(address, to, target string) error {
+// Forward listens at an address and passes connections on to a process's own one.
+func (p *Proxy) Forward(address, to, target string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return eris.Wrapf(err, "listen on %s for %s", address, to)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -178,7 +178,7 @@
 	_ = free.Close()
 	p = NewProxy(func(net.Conn) string { return "a" })
 	t.Cleanup(p.Close)
-	if err := p.Carry(address, "b", target.Addr().String()); err != nil {
+	if err := p.Forward(address, "b", target.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	if near, err = net.Dial("tcp", address); err != nil {
