--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -84,10 +84,10 @@
 	p.mu.Lock()
 	p.open[r] = struct{}{}
 	p.mu.Unlock()
-	var ways sync.WaitGroup
-	ways.Go(func() { p.pass(near, far, Link{from, to}) })
-	ways.Go(func() { p.pass(far, near, Link{to, from}) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.pass(near, far, Link{from, to}) })
+	directions.Go(func() { p.pass(far, near, Link{to, from}) })
+	directions.Wait()
 	p.mu.Lock()
 	delete(p.open, r)
 	p.mu.Unlock()
