--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -85,16 +85,16 @@
 	p.open[r] = struct{}{}
 	p.mu.Unlock()
 	var directions sync.WaitGroup
-	directions.Go(func() { p.pass(near, far, Link{from, to}) })
-	directions.Go(func() { p.pass(far, near, Link{to, from}) })
+	directions.Go(func() { p.copyDirection(near, far, Link{from, to}) })
+	directions.Go(func() { p.copyDirection(far, near, Link{to, from}) })
 	directions.Wait()
 	p.mu.Lock()
 	delete(p.open, r)
 	p.mu.Unlock()
 }
 
-// pass copies one direction, and ends it at the other side as it ended here.
-func (p *Proxy) pass(from, to net.Conn, link Link) {
+// copyDirection copies one direction, and ends it at the other side as it ended here.
+func (p *Proxy) copyDirection(from, to net.Conn, link Link) {
 	buffer := make([]byte, copyBufferSize)
 	for {
 		count, err := from.Read(buffer)
