--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -72,7 +72,7 @@
 func (p *Proxy) handle(near net.Conn, to, target string) {
 	defer near.Close()
 	from := p.owner(near)
-	if !p.mayPass(Link{from, to}) || !p.mayPass(Link{to, from}) {
+	if !p.waitForLink(Link{from, to}) || !p.waitForLink(Link{to, from}) {
 		return
 	}
 	far, err := net.DialTimeout("tcp", target, dialTimeout)
@@ -98,7 +98,7 @@
 	buffer := make([]byte, copyBufferSize)
 	for {
 		count, err := from.Read(buffer)
-		if count > 0 && p.mayPass(link) {
+		if count > 0 && p.waitForLink(link) {
 			if _, writeErr := to.Write(buffer[:count]); writeErr != nil {
 				_ = from.Close()
 				return
@@ -107,7 +107,7 @@
 		if err == nil {
 			continue
 		}
-		if err == io.EOF && p.mayPass(link) {
+		if err == io.EOF && p.waitForLink(link) {
 			_ = to.(*net.TCPConn).CloseWrite()
 			return
 		}
@@ -124,8 +124,8 @@
 	_ = c.Close()
 }
 
-// mayPass waits for a link's delay, and as long as the link is silent; it is false once the proxy ends.
-func (p *Proxy) mayPass(link Link) bool {
+// waitForLink waits for a link's delay, and as long as the link is silent; it is false once the proxy ends.
+func (p *Proxy) waitForLink(link Link) bool {
 	p.mu.Lock()
 	delay := p.delays[link]
 	p.mu.Unlock()
