--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// Silence holds what travels on a link, as often as Heal is called for it.
-func (p *Proxy) Silence(link Link) {
+// Block holds what travels on a link, as often as Heal is called for it.
+func (p *Proxy) Block(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.blocked[link]++
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -168,7 +168,7 @@
 
 func (f *Fleet) block(ctx context.Context, length time.Duration, links []Link) {
 	for _, link := range links {
-		f.Proxy.Silence(link)
+		f.Proxy.Block(link)
 	}
 	Sleep(ctx, length)
 	for _, link := range links {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -206,7 +206,7 @@
 func TestProxyCutsOneWay(t *testing.T) {
 	p, near, far := proxied(t)
 	send(t, near, far)
-	p.Silence(Link{"a", "b"})
+	p.Block(Link{"a", "b"})
 	send(t, far, near)
 	if _, err := io.WriteString(near, "y"); err != nil {
 		t.Fatal(err)
