--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -154,8 +154,8 @@
 	p.blocked[link]++
 }
 
-// Heal takes one Silence back.
-func (p *Proxy) Heal(link Link) {
+// Unblock takes one Silence back.
+func (p *Proxy) Unblock(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.blocked[link]--
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -172,7 +172,7 @@
 	}
 	Sleep(ctx, length)
 	for _, link := range links {
-		f.Proxy.Heal(link)
+		f.Proxy.Unblock(link)
 	}
 }
 
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -216,7 +216,7 @@
 		t.Fatal("it passed a silent link")
 	}
 	_ = far.SetReadDeadline(time.Time{})
-	p.Heal(Link{"a", "b"})
+	p.Unblock(Link{"a", "b"})
 	if _, err := io.ReadFull(far, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
