--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -12,8 +12,8 @@
 
 // Owner returns the name of the process among the given ones that holds the far end of a loopback connection whose near end is ours, or
 // "". The kernel tells: nothing in the processes has to know of the proxy.
-func Owner(processes []*Process, near net.Conn) string {
-	opener, own := endOf(near.RemoteAddr()), endOf(near.LocalAddr())
+func Owner(processes []*Process, conn net.Conn) string {
+	opener, own := endOf(conn.RemoteAddr()), endOf(conn.LocalAddr())
 	if opener == nil || own == nil {
 		return ""
 	}
