--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -13,11 +13,11 @@
 // Owner returns the name of the process among the given ones that holds the far end of a loopback connection whose near end is ours, or
 // "". The kernel tells: nothing in the processes has to know of the proxy.
 func Owner(processes []*Process, conn net.Conn) string {
-	remote, own := endOf(conn.RemoteAddr()), endOf(conn.LocalAddr())
-	if remote == nil || own == nil {
+	remote, local := endOf(conn.RemoteAddr()), endOf(conn.LocalAddr())
+	if remote == nil || local == nil {
 		return ""
 	}
-	inode := inodeOf(remote, own)
+	inode := inodeOf(remote, local)
 	if inode == 0 {
 		return ""
 	}
