--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -21,9 +21,9 @@
 	if inode == 0 {
 		return ""
 	}
-	wanted := "socket:[" + strconv.FormatUint(uint64(inode), 10) + "]"
+	socket := "socket:[" + strconv.FormatUint(uint64(inode), 10) + "]"
 	for _, p := range processes {
-		if id := p.PID(); id > 0 && holds(id, wanted) {
+		if id := p.PID(); id > 0 && holds(id, socket) {
 			return p.Name
 		}
 	}
