--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -23,7 +23,7 @@
 	}
 	socket := "socket:[" + strconv.FormatUint(uint64(inode), 10) + "]"
 	for _, p := range processes {
-		if id := p.PID(); id > 0 && holds(id, socket) {
+		if pid := p.PID(); pid > 0 && holds(pid, socket) {
 			return p.Name
 		}
 	}
