--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -13,7 +13,7 @@
 // Owner returns the name of the process among the given ones that holds the far end of a loopback connection whose near end is ours, or
 // "". The kernel tells: nothing in the processes has to know of the proxy.
 func Owner(processes []*Process, conn net.Conn) string {
-	remote, local := endOf(conn.RemoteAddr()), endOf(conn.LocalAddr())
+	remote, local := endpointOf(conn.RemoteAddr()), endpointOf(conn.LocalAddr())
 	if remote == nil || local == nil {
 		return ""
 	}
@@ -36,7 +36,7 @@
 	address [4]byte
 }
 
-func endOf(address net.Addr) *end {
+func endpointOf(address net.Addr) *end {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
 		return nil
