--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -45,9 +45,9 @@
 	if ip == nil {
 		return nil
 	}
-	made := &end{address: [4]byte(ip)}
-	binary.BigEndian.PutUint16(made.port[:], uint16(tcp.Port))
-	return made
+	result := &end{address: [4]byte(ip)}
+	binary.BigEndian.PutUint16(result.port[:], uint16(tcp.Port))
+	return result
 }
 
 // Layout of a question for one socket and of its answer: linux/inet_diag.h and linux/netlink.h.
