--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -30,13 +30,13 @@
 	return ""
 }
 
-// end is one end of a connection as the kernel writes it: the port, then the address, both with the highest byte first.
-type end struct {
+// endpoint is one endpoint of a connection as the kernel writes it: the port, then the address, both with the highest byte first.
+type endpoint struct {
 	port    [2]byte
 	address [4]byte
 }
 
-func endpointOf(address net.Addr) *end {
+func endpointOf(address net.Addr) *endpoint {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
 		return nil
@@ -45,7 +45,7 @@
 	if ip == nil {
 		return nil
 	}
-	result := &end{address: [4]byte(ip)}
+	result := &endpoint{address: [4]byte(ip)}
 	binary.BigEndian.PutUint16(result.port[:], uint16(tcp.Port))
 	return result
 }
@@ -70,7 +70,7 @@
 
 // inodeOf returns the kernel's number of the established socket with these ends, or 0. It asks for just this one: a list of the machine's
 // sockets takes the longer the more others hold, and is asked for with each connection.
-func inodeOf(local, remote *end) uint32 {
+func inodeOf(local, remote *endpoint) uint32 {
 	socket, err := unix.Socket(unix.AF_NETLINK, unix.SOCK_DGRAM|unix.SOCK_CLOEXEC, unix.NETLINK_INET_DIAG)
 	if err != nil {
 		return 0
@@ -91,7 +91,7 @@
 }
 
 // question asks for the socket with these ends.
-func question(local, remote *end) []byte {
+func question(local, remote *endpoint) []byte {
 	asked := make([]byte, askBytes)
 	binary.NativeEndian.PutUint32(asked, askBytes)
 	binary.NativeEndian.PutUint16(asked[4:], unix.SOCK_DIAG_BY_FAMILY)
