--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -17,7 +17,7 @@
 	if remote == nil || local == nil {
 		return ""
 	}
-	inode := inodeOf(remote, local)
+	inode := socketInode(remote, local)
 	if inode == 0 {
 		return ""
 	}
@@ -68,9 +68,9 @@
 	toldTimeoutS = 2 // the kernel answers within the call; the bound keeps a lost answer from holding a connection for good
 )
 
-// inodeOf returns the kernel's number of the established socket with these ends, or 0. It asks for just this one: a list of the machine's
+// socketInode returns the kernel's number of the established socket with these ends, or 0. It asks for just this one: a list of the machine's
 // sockets takes the longer the more others hold, and is asked for with each connection.
-func inodeOf(local, remote *endpoint) uint32 {
+func socketInode(local, remote *endpoint) uint32 {
 	socket, err := unix.Socket(unix.AF_NETLINK, unix.SOCK_DGRAM|unix.SOCK_CLOEXEC, unix.NETLINK_INET_DIAG)
 	if err != nil {
 		return 0
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -277,17 +277,17 @@
 	if name := Owner([]*Process{p}, near); name != "" {
 		t.Fatalf("a connection of ours is %q's", name)
 	}
-	inode := inodeOf(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr()))
+	inode := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr()))
 	wanted := fmt.Sprintf("socket:[%d]", inode)
 	if inode == 0 || !holds(os.Getpid(), wanted) || holds(p.PID(), wanted) {
 		t.Fatalf("a connection of ours is not found: %s", wanted)
 	}
-	if other := inodeOf(endpointOf(opener.RemoteAddr()), endpointOf(opener.LocalAddr())); other == 0 || other == inode {
+	if other := socketInode(endpointOf(opener.RemoteAddr()), endpointOf(opener.LocalAddr())); other == 0 || other == inode {
 		t.Fatalf("both ends are socket %d", other)
 	}
 	_ = opener.Close()
 	_ = near.Close()
-	if left := inodeOf(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr())); left != 0 {
+	if left := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr())); left != 0 {
 		t.Fatalf("a connection that has ended is socket %d", left)
 	}
 }
