--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -52,7 +52,7 @@
 
 // Layout of a question for one socket and of its answer: linux/inet_diag.h and linux/netlink.h.
 const (
-	askBytes     = unix.NLMSG_HDRLEN + 56
+	requestBytes = unix.NLMSG_HDRLEN + 56
 	askFamily    = unix.NLMSG_HDRLEN
 	askProtocol  = askFamily + 1
 	askFromPort  = askFamily + 8
@@ -92,8 +92,8 @@
 
 // question asks for the socket with these ends.
 func question(local, remote *endpoint) []byte {
-	asked := make([]byte, askBytes)
-	binary.NativeEndian.PutUint32(asked, askBytes)
+	asked := make([]byte, requestBytes)
+	binary.NativeEndian.PutUint32(asked, requestBytes)
 	binary.NativeEndian.PutUint16(asked[4:], unix.SOCK_DIAG_BY_FAMILY)
 	binary.NativeEndian.PutUint16(asked[6:], unix.NLM_F_REQUEST)
 	asked[askFamily], asked[askProtocol] = unix.AF_INET, unix.IPPROTO_TCP
