--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -52,20 +52,20 @@
 
 // Layout of a question for one socket and of its answer: linux/inet_diag.h and linux/netlink.h.
 const (
-	requestBytes        = unix.NLMSG_HDRLEN + 56
-	requestFamily       = unix.NLMSG_HDRLEN
-	requestProtocol     = requestFamily + 1
-	requestLocalPort    = requestFamily + 8
-	requestRemotePort   = requestLocalPort + 2
-	requestLocalAddress = requestRemotePort + 2
-	askTo               = requestLocalAddress + 16
-	askCookie           = askTo + 16 + 4
-	toldBytes           = unix.NLMSG_HDRLEN + 72
-	toldState           = unix.NLMSG_HDRLEN + 1
-	toldInode           = unix.NLMSG_HDRLEN + 68
-	established         = 1
-	noCookie            = 0xffffffffffffffff
-	toldTimeoutS        = 2 // the kernel answers within the call; the bound keeps a lost answer from holding a connection for good
+	requestBytes         = unix.NLMSG_HDRLEN + 56
+	requestFamily        = unix.NLMSG_HDRLEN
+	requestProtocol      = requestFamily + 1
+	requestLocalPort     = requestFamily + 8
+	requestRemotePort    = requestLocalPort + 2
+	requestLocalAddress  = requestRemotePort + 2
+	requestRemoteAddress = requestLocalAddress + 16
+	askCookie            = requestRemoteAddress + 16 + 4
+	toldBytes            = unix.NLMSG_HDRLEN + 72
+	toldState            = unix.NLMSG_HDRLEN + 1
+	toldInode            = unix.NLMSG_HDRLEN + 68
+	established          = 1
+	noCookie             = 0xffffffffffffffff
+	toldTimeoutS         = 2 // the kernel answers within the call; the bound keeps a lost answer from holding a connection for good
 )
 
 // socketInode returns the kernel's number of the established socket with these ends, or 0. It asks for just this one: a list of the machine's
@@ -100,7 +100,7 @@
 	copy(asked[requestLocalPort:], local.port[:])
 	copy(asked[requestRemotePort:], remote.port[:])
 	copy(asked[requestLocalAddress:], local.address[:])
-	copy(asked[askTo:], remote.address[:])
+	copy(asked[requestRemoteAddress:], remote.address[:])
 	binary.NativeEndian.PutUint64(asked[askCookie:], noCookie)
 	return asked
 }
