--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -59,7 +59,7 @@
 	requestRemotePort    = requestLocalPort + 2
 	requestLocalAddress  = requestRemotePort + 2
 	requestRemoteAddress = requestLocalAddress + 16
-	askCookie            = requestRemoteAddress + 16 + 4
+	requestCookie        = requestRemoteAddress + 16 + 4
 	toldBytes            = unix.NLMSG_HDRLEN + 72
 	toldState            = unix.NLMSG_HDRLEN + 1
 	toldInode            = unix.NLMSG_HDRLEN + 68
@@ -101,7 +101,7 @@
 	copy(asked[requestRemotePort:], remote.port[:])
 	copy(asked[requestLocalAddress:], local.address[:])
 	copy(asked[requestRemoteAddress:], remote.address[:])
-	binary.NativeEndian.PutUint64(asked[askCookie:], noCookie)
+	binary.NativeEndian.PutUint64(asked[requestCookie:], noCookie)
 	return asked
 }
 
