--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -61,7 +61,7 @@
 	requestRemoteAddress = requestLocalAddress + 16
 	requestCookie        = requestRemoteAddress + 16 + 4
 	replyBytes           = unix.NLMSG_HDRLEN + 72
-	toldState            = unix.NLMSG_HDRLEN + 1
+	replyState           = unix.NLMSG_HDRLEN + 1
 	toldInode            = unix.NLMSG_HDRLEN + 68
 	established          = 1
 	noCookie             = 0xffffffffffffffff
@@ -84,7 +84,7 @@
 	}
 	told := make([]byte, unix.Getpagesize())
 	count, _, err := unix.Recvfrom(socket, told, 0)
-	if err != nil || count < replyBytes || binary.NativeEndian.Uint16(told[4:]) != unix.SOCK_DIAG_BY_FAMILY || told[toldState] != established {
+	if err != nil || count < replyBytes || binary.NativeEndian.Uint16(told[4:]) != unix.SOCK_DIAG_BY_FAMILY || told[replyState] != established {
 		return 0
 	}
 	return binary.NativeEndian.Uint32(told[toldInode:])
