--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -62,7 +62,7 @@
 	requestCookie        = requestRemoteAddress + 16 + 4
 	replyBytes           = unix.NLMSG_HDRLEN + 72
 	replyState           = unix.NLMSG_HDRLEN + 1
-	toldInode            = unix.NLMSG_HDRLEN + 68
+	replyInode           = unix.NLMSG_HDRLEN + 68
 	established          = 1
 	noCookie             = 0xffffffffffffffff
 	toldTimeoutS         = 2 // the kernel answers within the call; the bound keeps a lost answer from holding a connection for good
@@ -87,7 +87,7 @@
 	if err != nil || count < replyBytes || binary.NativeEndian.Uint16(told[4:]) != unix.SOCK_DIAG_BY_FAMILY || told[replyState] != established {
 		return 0
 	}
-	return binary.NativeEndian.Uint32(told[toldInode:])
+	return binary.NativeEndian.Uint32(told[replyInode:])
 }
 
 // question asks for the socket with these ends.
