--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -65,7 +65,7 @@
 	replyInode           = unix.NLMSG_HDRLEN + 68
 	established          = 1
 	noCookie             = 0xffffffffffffffff
-	toldTimeoutS         = 2 // the kernel answers within the call; the bound keeps a lost answer from holding a connection for good
+	replyTimeoutSeconds  = 2 // the kernel answers within the call; the bound keeps a lost answer from holding a connection for good
 )
 
 // socketInode returns the kernel's number of the established socket with these ends, or 0. It asks for just this one: a list of the machine's
@@ -76,7 +76,7 @@
 		return 0
 	}
 	defer unix.Close(socket)
-	if unix.SetsockoptTimeval(socket, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: toldTimeoutS}) != nil {
+	if unix.SetsockoptTimeval(socket, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: replyTimeoutSeconds}) != nil {
 		return 0
 	}
 	if unix.Sendto(socket, question(local, remote), 0, &unix.SockaddrNetlink{Family: unix.AF_NETLINK}) != nil {
