--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -82,12 +82,12 @@
 	if unix.Sendto(socket, question(local, remote), 0, &unix.SockaddrNetlink{Family: unix.AF_NETLINK}) != nil {
 		return 0
 	}
-	told := make([]byte, unix.Getpagesize())
-	count, _, err := unix.Recvfrom(socket, told, 0)
-	if err != nil || count < replyBytes || binary.NativeEndian.Uint16(told[4:]) != unix.SOCK_DIAG_BY_FAMILY || told[replyState] != established {
+	reply := make([]byte, unix.Getpagesize())
+	count, _, err := unix.Recvfrom(socket, reply, 0)
+	if err != nil || count < replyBytes || binary.NativeEndian.Uint16(reply[4:]) != unix.SOCK_DIAG_BY_FAMILY || reply[replyState] != established {
 		return 0
 	}
-	return binary.NativeEndian.Uint32(told[replyInode:])
+	return binary.NativeEndian.Uint32(reply[replyInode:])
 }
 
 // question asks for the socket with these ends.
