--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -92,17 +92,17 @@
 
 // question asks for the socket with these ends.
 func question(local, remote *endpoint) []byte {
-	asked := make([]byte, requestBytes)
-	binary.NativeEndian.PutUint32(asked, requestBytes)
-	binary.NativeEndian.PutUint16(asked[4:], unix.SOCK_DIAG_BY_FAMILY)
-	binary.NativeEndian.PutUint16(asked[6:], unix.NLM_F_REQUEST)
-	asked[requestFamily], asked[requestProtocol] = unix.AF_INET, unix.IPPROTO_TCP
-	copy(asked[requestLocalPort:], local.port[:])
-	copy(asked[requestRemotePort:], remote.port[:])
-	copy(asked[requestLocalAddress:], local.address[:])
-	copy(asked[requestRemoteAddress:], remote.address[:])
-	binary.NativeEndian.PutUint64(asked[requestCookie:], noCookie)
-	return asked
+	request := make([]byte, requestBytes)
+	binary.NativeEndian.PutUint32(request, requestBytes)
+	binary.NativeEndian.PutUint16(request[4:], unix.SOCK_DIAG_BY_FAMILY)
+	binary.NativeEndian.PutUint16(request[6:], unix.NLM_F_REQUEST)
+	request[requestFamily], request[requestProtocol] = unix.AF_INET, unix.IPPROTO_TCP
+	copy(request[requestLocalPort:], local.port[:])
+	copy(request[requestRemotePort:], remote.port[:])
+	copy(request[requestLocalAddress:], local.address[:])
+	copy(request[requestRemoteAddress:], remote.address[:])
+	binary.NativeEndian.PutUint64(request[requestCookie:], noCookie)
+	return request
 }
 
 // holds reports whether a process has a socket open.
