--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -79,7 +79,7 @@
 	if unix.SetsockoptTimeval(socket, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: replyTimeoutSeconds}) != nil {
 		return 0
 	}
-	if unix.Sendto(socket, question(local, remote), 0, &unix.SockaddrNetlink{Family: unix.AF_NETLINK}) != nil {
+	if unix.Sendto(socket, socketRequest(local, remote), 0, &unix.SockaddrNetlink{Family: unix.AF_NETLINK}) != nil {
 		return 0
 	}
 	reply := make([]byte, unix.Getpagesize())
@@ -90,8 +90,8 @@
 	return binary.NativeEndian.Uint32(reply[replyInode:])
 }
 
-// question asks for the socket with these ends.
-func question(local, remote *endpoint) []byte {
+// socketRequest asks for the socket with these ends.
+func socketRequest(local, remote *endpoint) []byte {
 	request := make([]byte, requestBytes)
 	binary.NativeEndian.PutUint32(request, requestBytes)
 	binary.NativeEndian.PutUint16(request[4:], unix.SOCK_DIAG_BY_FAMILY)
