--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -106,8 +106,8 @@
 }
 
 // holds reports whether a process has a socket open.
-func holds(id int, socket string) bool {
-	folder := filepath.Join("/proc", strconv.Itoa(id), "fd")
+func holds(pid int, socket string) bool {
+	folder := filepath.Join("/proc", strconv.Itoa(pid), "fd")
 	entries, err := os.ReadDir(folder)
 	if err != nil {
 		return false // it has ended
