--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -107,13 +107,13 @@
 
 // holds reports whether a process has a socket open.
 func holds(pid int, socket string) bool {
-	folder := filepath.Join("/proc", strconv.Itoa(pid), "fd")
-	entries, err := os.ReadDir(folder)
+	dir := filepath.Join("/proc", strconv.Itoa(pid), "fd")
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return false // it has ended
 	}
 	for _, entry := range entries {
-		if target, err := os.Readlink(filepath.Join(folder, entry.Name())); err == nil && target == socket {
+		if target, err := os.Readlink(filepath.Join(dir, entry.Name())); err == nil && target == socket {
 			return true
 		}
 	}
