--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -23,7 +23,7 @@
 	}
 	socket := "socket:[" + strconv.FormatUint(uint64(inode), 10) + "]"
 	for _, p := range processes {
-		if pid := p.PID(); pid > 0 && holds(pid, socket) {
+		if pid := p.PID(); pid > 0 && hasSocketOpen(pid, socket) {
 			return p.Name
 		}
 	}
@@ -105,8 +105,8 @@
 	return request
 }
 
-// holds reports whether a process has a socket open.
-func holds(pid int, socket string) bool {
+// hasSocketOpen reports whether a process has a socket open.
+func hasSocketOpen(pid int, socket string) bool {
 	dir := filepath.Join("/proc", strconv.Itoa(pid), "fd")
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -279,7 +279,7 @@
 	}
 	inode := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr()))
 	wanted := fmt.Sprintf("socket:[%d]", inode)
-	if inode == 0 || !holds(os.Getpid(), wanted) || holds(p.PID(), wanted) {
+	if inode == 0 || !hasSocketOpen(os.Getpid(), wanted) || hasSocketOpen(p.PID(), wanted) {
 		t.Fatalf("a connection of ours is not found: %s", wanted)
 	}
 	if other := socketInode(endpointOf(opener.RemoteAddr()), endpointOf(opener.LocalAddr())); other == 0 || other == inode {
