--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -93,12 +93,15 @@
 		{DrainRespected, func(w *Watcher) { leaveArrival(w, 4*time.Second, "b") }},
 		{"", func(w *Watcher) { leaveArrival(w, 3*time.Second+drainPropagationDelay, "b") }},
 		{"", func(w *Watcher) { leaveArrival(w, 4*time.Second, "the next life of b") }},
-		{"", func(w *Watcher) { limitArrivals(w, 13, 5*time.Second, gateway) }},
-		{AdvertisedLimitRespected, func(w *Watcher) { limitArrivals(w, 14, 5*time.Second, gateway) }},
+		{"", func(w *Watcher) { limitArrivals(w, 13, 5*time.Second, sendingGateway) }},
+		{AdvertisedLimitRespected, func(w *Watcher) { limitArrivals(w, 14, 5*time.Second, sendingGateway) }},
 		{"", func(w *Watcher) { limitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // that one hasn't heard of it
-		{"", func(w *Watcher) { limitArrivals(w, 30, 3*time.Second, gateway) }},                       // too soon after the first naming
-		{"", func(w *Watcher) { limitArrivals(w, 30, 30*time.Second, gateway) }},                      // the limit is over
-		{"", func(w *Watcher) { w.RecordBurstWindow(0, 2*time.Second); limitArrivals(w, 30, 5*time.Second, gateway) }},
+		{"", func(w *Watcher) { limitArrivals(w, 30, 3*time.Second, sendingGateway) }},                // too soon after the first naming
+		{"", func(w *Watcher) { limitArrivals(w, 30, 30*time.Second, sendingGateway) }},               // the limit is over
+		{"", func(w *Watcher) {
+			w.RecordBurstWindow(0, 2*time.Second)
+			limitArrivals(w, 30, 5*time.Second, sendingGateway)
+		}},
 		{"", func(w *Watcher) { deadlyArrivals(w, 6) }},
 		{QuarantineEnforced, func(w *Watcher) { deadlyArrivals(w, 7) }},
 		{"", func(w *Watcher) { w.RecordDisturbance(time.Minute, time.Minute); deadlyArrivals(w, 9) }},
