--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -7,8 +7,8 @@
 
 var sendingGateway = Sender{Name: "g", Process: 1}
 
-// restArrivals lets a back end ask for rest, the caller have its answer after 3 s, and so many later requests come 2 s after that.
-func restArrivals(w *Watcher, later int, rest time.Duration) {
+// recordBackoffArrivals lets a back end ask for rest, the caller have its answer after 3 s, and so many later requests come 2 s after that.
+func recordBackoffArrivals(w *Watcher, later int, rest time.Duration) {
 	w.RecordSent(time.Second, "refused", sendingGateway)
 	w.RecordArrival(2*time.Second, "refused", "b")
 	w.RecordBackoff(2*time.Second, "refused", "b", rest)
