--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// leaveArrival lets a back end say that it leaves, which its gateway is seen to know after 3 s, and a request come to a life of it that was
+// recordDrainArrival lets a back end say that it leaves, which its gateway is seen to know after 3 s, and a request come to a life of it that was
 // sent at a time.
-func leaveArrival(w *Watcher, at time.Duration, life string) {
+func recordDrainArrival(w *Watcher, at time.Duration, life string) {
 	w.RecordSent(time.Second, "first", sendingGateway)
 	w.RecordDraining("first", "b")
 	w.RecordArrival(3*time.Second, "first", "c") // it went on elsewhere
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -90,9 +90,9 @@
 		{"", func(w *Watcher) { recordBackoffArrivals(w, 2, time.Minute) }},
 		{BackoffRespected, func(w *Watcher) { recordBackoffArrivals(w, 3, time.Minute) }},
 		{"", func(w *Watcher) { recordBackoffArrivals(w, 9, time.Second) }},
-		{DrainRespected, func(w *Watcher) { leaveArrival(w, 4*time.Second, "b") }},
-		{"", func(w *Watcher) { leaveArrival(w, 3*time.Second+drainPropagationDelay, "b") }},
-		{"", func(w *Watcher) { leaveArrival(w, 4*time.Second, "the next life of b") }},
+		{DrainRespected, func(w *Watcher) { recordDrainArrival(w, 4*time.Second, "b") }},
+		{"", func(w *Watcher) { recordDrainArrival(w, 3*time.Second+drainPropagationDelay, "b") }},
+		{"", func(w *Watcher) { recordDrainArrival(w, 4*time.Second, "the next life of b") }},
 		{"", func(w *Watcher) { limitArrivals(w, 13, 5*time.Second, sendingGateway) }},
 		{AdvertisedLimitRespected, func(w *Watcher) { limitArrivals(w, 14, 5*time.Second, sendingGateway) }},
 		{"", func(w *Watcher) { limitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // that one hasn't heard of it
