--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -36,9 +36,9 @@
 	w.RecordArrival(at+time.Second, "later", life)
 }
 
-// limitArrivals lets a back end name a limit of 1.4 requests a second after a second, for 20 s, the gateway be seen to know it after 2 s, and so many
+// recordLimitArrivals lets a back end name a limit of 1.4 requests a second after a second, for 20 s, the gateway be seen to know it after 2 s, and so many
 // requests that a process sent there come together at a time; 13.4 are allowed.
-func limitArrivals(w *Watcher, count int, at time.Duration, by Sender) {
+func recordLimitArrivals(w *Watcher, count int, at time.Duration, by Sender) {
 	w.RecordSent(time.Second, "first", sendingGateway)
 	w.RecordArrival(time.Second, "first", "b")
 	w.RecordAdvertisedLimit(time.Second, "first", "b", 1.4, 21*time.Second)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -93,14 +93,14 @@
 		{DrainRespected, func(w *Watcher) { recordDrainArrival(w, 4*time.Second, "b") }},
 		{"", func(w *Watcher) { recordDrainArrival(w, 3*time.Second+drainPropagationDelay, "b") }},
 		{"", func(w *Watcher) { recordDrainArrival(w, 4*time.Second, "the next life of b") }},
-		{"", func(w *Watcher) { limitArrivals(w, 13, 5*time.Second, sendingGateway) }},
-		{AdvertisedLimitRespected, func(w *Watcher) { limitArrivals(w, 14, 5*time.Second, sendingGateway) }},
-		{"", func(w *Watcher) { limitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // that one hasn't heard of it
-		{"", func(w *Watcher) { limitArrivals(w, 30, 3*time.Second, sendingGateway) }},                // too soon after the first naming
-		{"", func(w *Watcher) { limitArrivals(w, 30, 30*time.Second, sendingGateway) }},               // the limit is over
+		{"", func(w *Watcher) { recordLimitArrivals(w, 13, 5*time.Second, sendingGateway) }},
+		{AdvertisedLimitRespected, func(w *Watcher) { recordLimitArrivals(w, 14, 5*time.Second, sendingGateway) }},
+		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // that one hasn't heard of it
+		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 3*time.Second, sendingGateway) }},                // too soon after the first naming
+		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 30*time.Second, sendingGateway) }},               // the limit is over
 		{"", func(w *Watcher) {
 			w.RecordBurstWindow(0, 2*time.Second)
-			limitArrivals(w, 30, 5*time.Second, sendingGateway)
+			recordLimitArrivals(w, 30, 5*time.Second, sendingGateway)
 		}},
 		{"", func(w *Watcher) { deadlyArrivals(w, 6) }},
 		{QuarantineEnforced, func(w *Watcher) { deadlyArrivals(w, 7) }},
