--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -102,9 +102,9 @@
 			w.RecordBurstWindow(0, 2*time.Second)
 			recordLimitArrivals(w, 30, 5*time.Second, sendingGateway)
 		}},
-		{"", func(w *Watcher) { deadlyArrivals(w, 6) }},
-		{QuarantineEnforced, func(w *Watcher) { deadlyArrivals(w, 7) }},
-		{"", func(w *Watcher) { w.RecordDisturbance(time.Minute, time.Minute); deadlyArrivals(w, 9) }},
+		{"", func(w *Watcher) { recordFatalArrivals(w, 6) }},
+		{QuarantineEnforced, func(w *Watcher) { recordFatalArrivals(w, 7) }},
+		{"", func(w *Watcher) { w.RecordDisturbance(time.Minute, time.Minute); recordFatalArrivals(w, 9) }},
 	} {
 		w := NewWatcher(time.Second, 0)
 		w.RecordLimit("t", limit)
@@ -118,8 +118,8 @@
 	}
 }
 
-// deadlyArrivals lets one request come so often, the first three at once, the rest a minute later.
-func deadlyArrivals(w *Watcher, count int) {
+// recordFatalArrivals lets one request come so often, the first three at once, the rest a minute later.
+func recordFatalArrivals(w *Watcher, count int) {
 	for n := range count {
 		at := time.Duration(n)
 		if n >= quarantineThreshold {
@@ -137,7 +137,7 @@
 		settled        bool
 	}{{0, 0, false}, {quarantineThreshold, maxExtraArrivals, false}, {quarantineThreshold, maxExtraArrivals + 1, true}, {quarantineThreshold + maxExtraArrivals, 0, false}, {quarantineThreshold + maxExtraArrivals + 1, 0, true}} {
 		w := NewWatcher(time.Second, 0)
-		deadlyArrivals(w, c.arrivals)
+		recordFatalArrivals(w, c.arrivals)
 		for range c.held {
 			w.RecordQuarantined("deadly 1")
 		}
