--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// TestPlansComeFromTheirSeed: the same seed draws the same plan, which is read back as it was written.
-func TestPlansComeFromTheirSeed(t *testing.T) {
+// TestGenerateIsDeterministic: the same seed draws the same plan, which is read back as it was written.
+func TestGenerateIsDeterministic(t *testing.T) {
 	plan := Generate(7, time.Minute)
 	if !reflect.DeepEqual(plan, Generate(7, time.Minute)) || reflect.DeepEqual(plan.Faults, Generate(8, time.Minute).Faults) {
 		t.Fatal("plans do not follow their seeds")
