--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestBuildsTakeTurns: a process that has another build changes it with each start; one that has none keeps its own.
-func TestBuildsTakeTurns(t *testing.T) {
+// TestStartAlternatesBuilds: a process that has another build changes it with each start; one that has none keeps its own.
+func TestStartAlternatesBuilds(t *testing.T) {
 	folder := t.TempDir()
 	build := func(name string) string {
 		path := filepath.Join(folder, name)
