--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestWatchSeesBrokenPromises, each from the observation that decides it.
-func TestWatchSeesBrokenPromises(t *testing.T) {
+// TestWatcherReportsViolations, each from the observation that decides it.
+func TestWatcherReportsViolations(t *testing.T) {
 	limit := TenantLimit{Units: func(window time.Duration) float64 { return 100 * window.Seconds() }}
 	for _, c := range []struct {
 		wanted Guarantee
