--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestSettledOnceEitherWasSeen: a fatal request can be judged once its callers were told often enough that it is held back, or once it came
+// TestQuarantineDecided: a fatal request can be judged once its callers were told often enough that it is held back, or once it came
 // to more workers than it may; not by what a few saw.
-func TestSettledOnceEitherWasSeen(t *testing.T) {
+func TestQuarantineDecided(t *testing.T) {
 	for _, c := range []struct {
 		arrivals, held int
 		settled        bool
