--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestLowerLimitBindsWholeWindows: a window that began before the older limit ended may still hold what that allowed.
-func TestLowerLimitBindsWholeWindows(t *testing.T) {
+// TestLowerLimitAppliesToWholeWindows: a window that began before the older limit ended may still hold what that allowed.
+func TestLowerLimitAppliesToWholeWindows(t *testing.T) {
 	of := func(units float64) func(time.Duration) float64 { return func(time.Duration) float64 { return units } }
 	for _, c := range []struct {
 		at     time.Duration
