--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// TestProxyCutsOneWay: what travels on a silent link is held, the other way goes on, and all arrives once it is healed.
-func TestProxyCutsOneWay(t *testing.T) {
+// TestProxyBlocksOneDirection: what travels on a silent link is held, the other way goes on, and all arrives once it is healed.
+func TestProxyBlocksOneDirection(t *testing.T) {
 	p, near, far := proxied(t)
 	send(t, near, far)
 	p.Block(Link{"a", "b"})
