--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// TestProxyResets both ends.
-func TestProxyResets(t *testing.T) {
+// TestProxyResetsBothEnds both ends.
+func TestProxyResetsBothEnds(t *testing.T) {
 	p, near, far := proxied(t)
 	send(t, near, far)
 	p.Reset("b", "a")
