--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -237,8 +237,8 @@
 	}
 }
 
-// connected returns both ends of a connection that we opened: the opener's, and that which a listener accepted.
-func connected(t *testing.T) (opener, accepted net.Conn) {
+// openConnection returns both ends of a connection that we opened: the opener's, and that which a listener accepted.
+func openConnection(t *testing.T) (opener, accepted net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -261,9 +261,9 @@
 func TestOwnerIsFoundBesideManySockets(t *testing.T) {
 	const others, runs = 200, 3
 	for range others {
-		connected(t)
+		openConnection(t)
 	}
-	_, near := connected(t)
+	_, near := openConnection(t)
 	if made := testing.AllocsPerRun(runs, func() { Owner(nil, near) }); made >= others {
 		t.Fatalf("%.0f allocations to find the owner of one connection beside %d others", made, others)
 	}
@@ -276,7 +276,7 @@
 		t.Fatal(err)
 	}
 	defer p.Stop(9)
-	opener, near := connected(t)
+	opener, near := openConnection(t)
 	if name := Owner([]*Process{p}, near); name != "" {
 		t.Fatalf("a connection of ours is %q's", name)
 	}
