--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// proxied returns a connection through a proxy from "a" to "b", its far end, and the proxy.
-func proxied(t *testing.T) (p *Proxy, near, far net.Conn) {
+// openProxiedConnection returns a connection through a proxy from "a" to "b", its far end, and the proxy.
+func openProxiedConnection(t *testing.T) (p *Proxy, near, far net.Conn) {
 	t.Helper()
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -207,7 +207,7 @@
 
 // TestProxyBlocksOneDirection: what travels on a silent link is held, the other way goes on, and all arrives once it is healed.
 func TestProxyBlocksOneDirection(t *testing.T) {
-	p, near, far := proxied(t)
+	p, near, far := openProxiedConnection(t)
 	send(t, near, far)
 	p.Block(Link{"a", "b"})
 	send(t, far, near)
@@ -227,7 +227,7 @@
 
 // TestProxyResetsBothEnds both ends.
 func TestProxyResetsBothEnds(t *testing.T) {
-	p, near, far := proxied(t)
+	p, near, far := openProxiedConnection(t)
 	send(t, near, far)
 	p.Reset("b", "a")
 	for _, end := range []net.Conn{near, far} {
