--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -256,9 +256,9 @@
 	return opener, accepted
 }
 
-// TestOwnerIsFoundBesideManySockets: what it costs to find who opened a connection does not grow with the machine's sockets. A proxy
+// TestOwnerCostIndependentOfSocketCount: what it costs to find who opened a connection does not grow with the machine's sockets. A proxy
 // that reads them all for each connection starves the processes under test beside whatever holds many.
-func TestOwnerIsFoundBesideManySockets(t *testing.T) {
+func TestOwnerCostIndependentOfSocketCount(t *testing.T) {
 	const others, runs = 200, 3
 	for range others {
 		openConnection(t)
