--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -269,8 +269,8 @@
 	}
 }
 
-// TestOwnerIsTheProcessOfAConnection: told by the kernel, for each end its own opener.
-func TestOwnerIsTheProcessOfAConnection(t *testing.T) {
+// TestSocketInodeIdentifiesEachEnd: told by the kernel, for each end its own opener.
+func TestSocketInodeIdentifiesEachEnd(t *testing.T) {
 	p := &Process{Name: "child", Args: []string{"/bin/sleep", "30"}, Log: filepath.Join(t.TempDir(), "log")}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
