--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -295,8 +295,8 @@
 	}
 }
 
-// TestOwnerNamesTheProcessThatOpened a connection to us, among several.
-func TestOwnerNamesTheProcessThatOpened(t *testing.T) {
+// TestOwnerReturnsDialingProcess a connection to us, among several.
+func TestOwnerReturnsDialingProcess(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
