--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -118,8 +118,8 @@
 const resetInterval = 30 * time.Millisecond
 
 // resetControl resets the connections between control processes again and again.
-func (f *Fleet) resetControl(ctx context.Context, length time.Duration) {
-	for end := time.Now().Add(length); time.Now().Before(end) && Sleep(ctx, resetInterval); {
+func (f *Fleet) resetControl(ctx context.Context, duration time.Duration) {
+	for end := time.Now().Add(duration); time.Now().Before(end) && Sleep(ctx, resetInterval); {
 		for i, one := range f.Control {
 			for _, other := range f.Control[:i] {
 				f.Proxy.Reset(one.Name, other.Name)
