--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -148,13 +148,13 @@
 }
 
 // stopFor ends processes for a time. One that is stopFor already starts with the first fault that heals.
-func (f *Fleet) stopFor(ctx context.Context, length time.Duration, signal syscall.Signal, processes ...*Process) {
+func (f *Fleet) stopFor(ctx context.Context, duration time.Duration, signal syscall.Signal, processes ...*Process) {
 	var ends sync.WaitGroup
 	for _, p := range processes {
 		ends.Go(func() { p.Stop(signal) })
 	}
 	ends.Wait()
-	Sleep(ctx, length)
+	Sleep(ctx, duration)
 	for _, p := range processes {
 		_ = p.Start() // one that cannot start serves nobody, which the promises show
 	}
