--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -160,9 +160,9 @@
 	}
 }
 
-func (f *Fleet) pause(ctx context.Context, length time.Duration, p *Process) {
+func (f *Fleet) pause(ctx context.Context, duration time.Duration, p *Process) {
 	p.Signal(syscall.SIGSTOP)
-	Sleep(ctx, length)
+	Sleep(ctx, duration)
 	p.Signal(syscall.SIGCONT)
 }
 
