--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -166,11 +166,11 @@
 	p.Signal(syscall.SIGCONT)
 }
 
-func (f *Fleet) block(ctx context.Context, length time.Duration, links []Link) {
+func (f *Fleet) block(ctx context.Context, duration time.Duration, links []Link) {
 	for _, link := range links {
 		f.Proxy.Block(link)
 	}
-	Sleep(ctx, length)
+	Sleep(ctx, duration)
 	for _, link := range links {
 		f.Proxy.Unblock(link)
 	}
