--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -176,11 +176,11 @@
 	}
 }
 
-func (f *Fleet) delay(ctx context.Context, length time.Duration, links []Link) {
+func (f *Fleet) delay(ctx context.Context, duration time.Duration, links []Link) {
 	for _, link := range links {
 		f.Proxy.Delay(link, linkDelay)
 	}
-	Sleep(ctx, length)
+	Sleep(ctx, duration)
 	for _, link := range links {
 		f.Proxy.Delay(link, 0)
 	}
