--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -102,10 +102,10 @@
 }
 
 // RecordRequest notes that a caller is about to send a request.
-func (w *Watcher) RecordRequest(id string, once bool) {
+func (w *Watcher) RecordRequest(id string, atMostOnce bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.requests[id] = &requestState{atMostOnce: once}
+	w.requests[id] = &requestState{atMostOnce: atMostOnce}
 }
 
 // RecordExecution notes that a back end began a request.
