--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -264,8 +264,8 @@
 		openConnection(t)
 	}
 	_, near := openConnection(t)
-	if made := testing.AllocsPerRun(runs, func() { Owner(nil, near) }); made >= others {
-		t.Fatalf("%.0f allocations to find the owner of one connection beside %d others", made, others)
+	if allocs := testing.AllocsPerRun(runs, func() { Owner(nil, near) }); allocs >= others {
+		t.Fatalf("%.0f allocations to find the owner of one connection beside %d others", allocs, others)
 	}
 }
 
