--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -290,8 +290,8 @@
 	}
 	_ = opener.Close()
 	_ = near.Close()
-	if left := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr())); left != 0 {
-		t.Fatalf("a connection that has ended is socket %d", left)
+	if inode := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr())); inode != 0 {
+		t.Fatalf("a connection that has ended is socket %d", inode)
 	}
 }
 
