--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -149,14 +149,14 @@
 
 // TestLowerLimitAppliesToWholeWindows: a window that began before the older limit ended may still hold what that allowed.
 func TestLowerLimitAppliesToWholeWindows(t *testing.T) {
-	of := func(units float64) func(time.Duration) float64 { return func(time.Duration) float64 { return units } }
+	constant := func(units float64) func(time.Duration) float64 { return func(time.Duration) float64 { return units } }
 	for _, c := range []struct {
 		at     time.Duration
 		broken int
 	}{{4 * time.Second, 0}, {7 * time.Second, 1}} {
 		w := NewWatcher(time.Second, time.Second)
-		w.RecordLimit("t", TenantLimit{Units: of(100)})
-		w.RecordLimit("t", TenantLimit{From: 4 * time.Second, Units: of(10)})
+		w.RecordLimit("t", TenantLimit{Units: constant(100)})
+		w.RecordLimit("t", TenantLimit{From: 4 * time.Second, Units: constant(10)})
 		w.RecordRequest("a", false)
 		w.RecordExecution(c.at, "a", "t", 50)
 		if broken := w.Close(); len(broken) != c.broken {
