--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -66,7 +66,7 @@
 	limit := TenantLimit{Units: func(window time.Duration) float64 { return 100 * window.Seconds() }}
 	for _, c := range []struct {
 		wanted Guarantee
-		do     func(*Watcher)
+		record func(*Watcher)
 	}{
 		{"", func(w *Watcher) {
 			w.RecordExecution(0, "a", "t", 50)
@@ -110,7 +110,7 @@
 		w.RecordLimit("t", limit)
 		w.RecordRequest("a", false)
 		w.RecordRequest("once", true)
-		c.do(w)
+		c.record(w)
 		broken := w.Close()
 		if c.wanted == "" && len(broken) > 0 || c.wanted != "" && (len(broken) != 1 || broken[0].Guarantee != c.wanted) {
 			t.Errorf("wanted %q broken, found %v", c.wanted, broken)
