--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -281,9 +281,9 @@
 		t.Fatalf("a connection of ours is %q's", name)
 	}
 	inode := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr()))
-	wanted := fmt.Sprintf("socket:[%d]", inode)
-	if inode == 0 || !hasSocketOpen(os.Getpid(), wanted) || hasSocketOpen(p.PID(), wanted) {
-		t.Fatalf("a connection of ours is not found: %s", wanted)
+	socket := fmt.Sprintf("socket:[%d]", inode)
+	if inode == 0 || !hasSocketOpen(os.Getpid(), socket) || hasSocketOpen(p.PID(), socket) {
+		t.Fatalf("a connection of ours is not found: %s", socket)
 	}
 	if other := socketInode(endpointOf(opener.RemoteAddr()), endpointOf(opener.LocalAddr())); other == 0 || other == inode {
 		t.Fatalf("both ends are socket %d", other)
