--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -133,16 +133,16 @@
 // to more workers than it may; not by what a few saw.
 func TestQuarantineDecided(t *testing.T) {
 	for _, c := range []struct {
-		arrivals, held int
-		settled        bool
+		arrivals, quarantined int
+		settled               bool
 	}{{0, 0, false}, {quarantineThreshold, maxExtraArrivals, false}, {quarantineThreshold, maxExtraArrivals + 1, true}, {quarantineThreshold + maxExtraArrivals, 0, false}, {quarantineThreshold + maxExtraArrivals + 1, 0, true}} {
 		w := NewWatcher(time.Second, 0)
 		recordFatalArrivals(w, c.arrivals)
-		for range c.held {
+		for range c.quarantined {
 			w.RecordQuarantined("deadly 1")
 		}
 		if w.QuarantineDecided("deadly 1") != c.settled || w.QuarantineDecided("another") {
-			t.Errorf("%d arrivals, %d times held back: settled %v", c.arrivals, c.held, !c.settled)
+			t.Errorf("%d arrivals, %d times held back: settled %v", c.arrivals, c.quarantined, !c.settled)
 		}
 	}
 }
