--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -106,7 +106,7 @@
 	for seed := f.first; seed < f.first+uint64(f.seeds); seed++ {
 		plan.Seed = seed
 		fmt.Printf("== %s beside this build, seed %d\n", commit, seed)
-		broken, err := standin.Play(ctx, standin.Options{Program: f.program, Other: other, Plan: plan, Dir: f.kept(commit, seed), Out: os.Stdout})
+		broken, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: other, Plan: plan, Dir: f.kept(commit, seed), Out: os.Stdout})
 		if err != nil {
 			made.cannot = err
 			return made
--- a/cmd/kitelab/soak.go
+++ b/cmd/kitelab/soak.go
@@ -57,7 +57,7 @@
 	fmt.Printf("seed %d, %.0f s\n", plan.Seed, plan.Length().Seconds())
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	broken, err := standin.Play(ctx, standin.Options{Program: f.program, Other: f.other, Plan: plan, Dir: f.keep, BreakPromise: off, Out: os.Stdout})
+	broken, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: f.other, Plan: plan, Dir: f.keep, BreakPromise: off, Out: os.Stdout})
 	if err != nil {
 		return err
 	}
