--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -43,15 +43,15 @@
 	return command{sub, flags.run}
 }
 
-// mixed is how the plays with one earlier build went.
-type mixed struct {
+// buildResult is how the plays with one earlier build went.
+type buildResult struct {
 	commit string
 	plays  int
 	broken map[soak.Promise]int
 	cannot error // why a play could not be judged, or the build not made
 }
 
-func (m mixed) takesPart() bool { return m.cannot == nil && len(m.broken) == 0 }
+func (m buildResult) takesPart() bool { return m.cannot == nil && len(m.broken) == 0 }
 
 func (f *mixFlags) run() error {
 	commits, err := f.earlier()
@@ -67,7 +67,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	var all []mixed
+	var all []buildResult
 	for _, commit := range commits {
 		all = append(all, f.play(ctx, commit, plan))
 		if ctx.Err() != nil {
@@ -96,8 +96,8 @@
 }
 
 // play plays a plan with the build of a commit beside this one, once for each seed.
-func (f *mixFlags) play(ctx context.Context, commit string, plan soak.Plan) mixed {
-	made := mixed{commit: commit, broken: map[soak.Promise]int{}}
+func (f *mixFlags) play(ctx context.Context, commit string, plan soak.Plan) buildResult {
+	made := buildResult{commit: commit, broken: map[soak.Promise]int{}}
 	other, err := earlier.Build(ctx, ".", commit, "cmd/kitetiller", f.programs)
 	if err != nil {
 		made.cannot = err
@@ -128,7 +128,7 @@
 }
 
 // String tells how the plays went.
-func (m mixed) String() string {
+func (m buildResult) String() string {
 	if m.cannot != nil {
 		return fmt.Sprintf("%s: not judged after %d plays: %s", m.commit, m.plays, eris.ToString(m.cannot, false))
 	}
@@ -136,7 +136,7 @@
 }
 
 // oldestOf returns the oldest build from which on all can take part, of builds that come oldest first.
-func oldestOf(all []mixed) (commit string, found bool) {
+func oldestOf(all []buildResult) (commit string, found bool) {
 	for i := len(all) - 1; i >= 0 && all[i].takesPart(); i-- {
 		commit, found = all[i].commit, true
 	}
