--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -51,7 +51,7 @@
 	cannot error // why a play could not be judged, or the build not made
 }
 
-func (m buildResult) takesPart() bool { return m.cannot == nil && len(m.broken) == 0 }
+func (m buildResult) compatible() bool { return m.cannot == nil && len(m.broken) == 0 }
 
 func (f *mixFlags) run() error {
 	commits, err := f.earlier()
@@ -137,7 +137,7 @@
 
 // oldestOf returns the oldest build from which on all can take part, of builds that come oldest first.
 func oldestOf(all []buildResult) (commit string, found bool) {
-	for i := len(all) - 1; i >= 0 && all[i].takesPart(); i-- {
+	for i := len(all) - 1; i >= 0 && all[i].compatible(); i-- {
 		commit, found = all[i].commit, true
 	}
 	return commit, found
