--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -45,13 +45,13 @@
 
 // buildResult is how the plays with one earlier build went.
 type buildResult struct {
-	commit string
-	plays  int
-	broken map[soak.Promise]int
-	cannot error // why a play could not be judged, or the build not made
+	commit  string
+	plays   int
+	broken  map[soak.Promise]int
+	failure error // why a play could not be judged, or the build not made
 }
 
-func (m buildResult) compatible() bool { return m.cannot == nil && len(m.broken) == 0 }
+func (m buildResult) compatible() bool { return m.failure == nil && len(m.broken) == 0 }
 
 func (f *mixFlags) run() error {
 	commits, err := f.earlier()
@@ -100,7 +100,7 @@
 	made := buildResult{commit: commit, broken: map[soak.Promise]int{}}
 	other, err := earlier.Build(ctx, ".", commit, "cmd/kitetiller", f.programs)
 	if err != nil {
-		made.cannot = err
+		made.failure = err
 		return made
 	}
 	for seed := f.first; seed < f.first+uint64(f.seeds); seed++ {
@@ -108,7 +108,7 @@
 		fmt.Printf("== %s beside this build, seed %d\n", commit, seed)
 		broken, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: other, Plan: plan, Dir: f.kept(commit, seed), Out: os.Stdout})
 		if err != nil {
-			made.cannot = err
+			made.failure = err
 			return made
 		}
 		made.plays++
@@ -129,8 +129,8 @@
 
 // String tells how the plays went.
 func (m buildResult) String() string {
-	if m.cannot != nil {
-		return fmt.Sprintf("%s: not judged after %d plays: %s", m.commit, m.plays, eris.ToString(m.cannot, false))
+	if m.failure != nil {
+		return fmt.Sprintf("%s: not judged after %d plays: %s", m.commit, m.plays, eris.ToString(m.failure, false))
 	}
 	return fmt.Sprintf("%s: %d plays, broken %v", m.commit, m.plays, m.broken)
 }
--- a/cmd/kitelab/mix_test.go
+++ b/cmd/kitelab/mix_test.go
@@ -12,7 +12,7 @@
 func TestOldestThatTakesPart(t *testing.T) {
 	good := func(commit string) buildResult { return buildResult{commit: commit, plays: 1} }
 	broke := buildResult{commit: "broke", plays: 1, broken: map[soak.Promise]int{soak.ServiceBack: 1}}
-	mute := buildResult{commit: "mute", cannot: eris.New("acknowledged nothing")}
+	mute := buildResult{commit: "mute", failure: eris.New("acknowledged nothing")}
 	for _, row := range []struct {
 		all    []buildResult
 		wanted string
