--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -45,13 +45,13 @@
 
 // buildResult is how the plays with one earlier build went.
 type buildResult struct {
-	commit  string
-	plays   int
-	broken  map[soak.Promise]int
-	failure error // why a play could not be judged, or the build not made
+	commit     string
+	plays      int
+	violations map[soak.Promise]int
+	failure    error // why a play could not be judged, or the build not made
 }
 
-func (m buildResult) compatible() bool { return m.failure == nil && len(m.broken) == 0 }
+func (m buildResult) compatible() bool { return m.failure == nil && len(m.violations) == 0 }
 
 func (f *mixFlags) run() error {
 	commits, err := f.earlier()
@@ -97,7 +97,7 @@
 
 // play plays a plan with the build of a commit beside this one, once for each seed.
 func (f *mixFlags) play(ctx context.Context, commit string, plan soak.Plan) buildResult {
-	made := buildResult{commit: commit, broken: map[soak.Promise]int{}}
+	made := buildResult{commit: commit, violations: map[soak.Promise]int{}}
 	other, err := earlier.Build(ctx, ".", commit, "cmd/kitetiller", f.programs)
 	if err != nil {
 		made.failure = err
@@ -113,7 +113,7 @@
 		}
 		made.plays++
 		for _, found := range broken {
-			made.broken[found.Promise]++
+			made.violations[found.Promise]++
 		}
 	}
 	return made
@@ -132,7 +132,7 @@
 	if m.failure != nil {
 		return fmt.Sprintf("%s: not judged after %d plays: %s", m.commit, m.plays, eris.ToString(m.failure, false))
 	}
-	return fmt.Sprintf("%s: %d plays, broken %v", m.commit, m.plays, m.broken)
+	return fmt.Sprintf("%s: %d plays, broken %v", m.commit, m.plays, m.violations)
 }
 
 // oldestOf returns the oldest build from which on all can take part, of builds that come oldest first.
