--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -97,26 +97,26 @@
 
 // play plays a plan with the build of a commit beside this one, once for each seed.
 func (f *mixFlags) play(ctx context.Context, commit string, plan soak.Plan) buildResult {
-	made := buildResult{commit: commit, violations: map[soak.Promise]int{}}
+	result := buildResult{commit: commit, violations: map[soak.Promise]int{}}
 	other, err := earlier.Build(ctx, ".", commit, "cmd/kitetiller", f.programs)
 	if err != nil {
-		made.failure = err
-		return made
+		result.failure = err
+		return result
 	}
 	for seed := f.first; seed < f.first+uint64(f.seeds); seed++ {
 		plan.Seed = seed
 		fmt.Printf("== %s beside this build, seed %d\n", commit, seed)
 		broken, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: other, Plan: plan, Dir: f.kept(commit, seed), Out: os.Stdout})
 		if err != nil {
-			made.failure = err
-			return made
+			result.failure = err
+			return result
 		}
-		made.plays++
+		result.plays++
 		for _, found := range broken {
-			made.violations[found.Promise]++
+			result.violations[found.Promise]++
 		}
 	}
-	return made
+	return result
 }
 
 // kept returns the folder that a play is kept in, or "".
