--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -106,13 +106,13 @@
 	for seed := f.first; seed < f.first+uint64(f.seeds); seed++ {
 		plan.Seed = seed
 		fmt.Printf("== %s beside this build, seed %d\n", commit, seed)
-		broken, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: other, Plan: plan, Dir: f.kept(commit, seed), Out: os.Stdout})
+		violations, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: other, Plan: plan, Dir: f.kept(commit, seed), Out: os.Stdout})
 		if err != nil {
 			result.failure = err
 			return result
 		}
 		result.plays++
-		for _, found := range broken {
+		for _, found := range violations {
 			result.violations[found.Promise]++
 		}
 	}
