--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -112,8 +112,8 @@
 			return result
 		}
 		result.plays++
-		for _, found := range violations {
-			result.violations[found.Promise]++
+		for _, violation := range violations {
+			result.violations[violation.Promise]++
 		}
 	}
 	return result
