--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -77,7 +77,7 @@
 	for _, m := range all {
 		fmt.Println(m)
 	}
-	oldest, found := oldestOf(all)
+	oldest, found := oldestCompatible(all)
 	if !found {
 		fmt.Println("the newest of these builds can't take part")
 		return errViolation
@@ -135,8 +135,8 @@
 	return fmt.Sprintf("%s: %d plays, broken %v", m.commit, m.plays, m.violations)
 }
 
-// oldestOf returns the oldest build from which on all can take part, of builds that come oldest first.
-func oldestOf(all []buildResult) (commit string, found bool) {
+// oldestCompatible returns the oldest build from which on all can take part, of builds that come oldest first.
+func oldestCompatible(all []buildResult) (commit string, found bool) {
 	for i := len(all) - 1; i >= 0 && all[i].compatible(); i-- {
 		commit, found = all[i].commit, true
 	}
--- a/cmd/kitelab/mix_test.go
+++ b/cmd/kitelab/mix_test.go
@@ -20,7 +20,7 @@
 		{nil, ""}, {[]buildResult{good("a")}, "a"}, {[]buildResult{good("a"), good("b")}, "a"}, {[]buildResult{good("a"), broke, good("c"), good("d")}, "c"},
 		{[]buildResult{mute, good("b")}, "b"}, {[]buildResult{good("a"), mute}, ""},
 	} {
-		if got, found := oldestOf(row.all); got != row.wanted || found != (row.wanted != "") {
+		if got, found := oldestCompatible(row.all); got != row.wanted || found != (row.wanted != "") {
 			t.Errorf("%v: %q, wanted %q", row.all, got, row.wanted)
 		}
 	}
