--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -106,7 +106,7 @@
 	for seed := f.first; seed < f.first+uint64(f.seeds); seed++ {
 		plan.Seed = seed
 		fmt.Printf("== %s beside this build, seed %d\n", commit, seed)
-		violations, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: other, Plan: plan, Dir: f.kept(commit, seed), Out: os.Stdout})
+		violations, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: other, Plan: plan, Dir: f.playDir(commit, seed), Out: os.Stdout})
 		if err != nil {
 			result.failure = err
 			return result
@@ -119,8 +119,8 @@
 	return result
 }
 
-// kept returns the folder that a play is kept in, or "".
-func (f *mixFlags) kept(commit string, seed uint64) string {
+// playDir returns the folder that a play is playDir in, or "".
+func (f *mixFlags) playDir(commit string, seed uint64) string {
 	if f.keep == "" {
 		return ""
 	}
