--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -54,7 +54,7 @@
 func (m buildResult) compatible() bool { return m.failure == nil && len(m.violations) == 0 }
 
 func (f *mixFlags) run() error {
-	commits, err := f.earlier()
+	commits, err := f.earlierCommits()
 	if err != nil {
 		return err
 	}
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// earlier returns the commits whose builds are to be played.
-func (f *mixFlags) earlier() ([]string, error) {
+// earlierCommits returns the commits whose builds are to be played.
+func (f *mixFlags) earlierCommits() ([]string, error) {
 	if f.commits != "" {
 		return strings.Split(f.commits, ","), nil
 	}
