--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -51,7 +51,7 @@
 	failure    error // why a play could not be judged, or the build not made
 }
 
-func (m buildResult) compatible() bool { return m.failure == nil && len(m.violations) == 0 }
+func (r buildResult) compatible() bool { return r.failure == nil && len(r.violations) == 0 }
 
 func (f *mixFlags) run() error {
 	commits, err := f.earlierCommits()
@@ -128,11 +128,11 @@
 }
 
 // String tells how the plays went.
-func (m buildResult) String() string {
-	if m.failure != nil {
-		return fmt.Sprintf("%s: not judged after %d plays: %s", m.commit, m.plays, eris.ToString(m.failure, false))
+func (r buildResult) String() string {
+	if r.failure != nil {
+		return fmt.Sprintf("%s: not judged after %d plays: %s", r.commit, r.plays, eris.ToString(r.failure, false))
 	}
-	return fmt.Sprintf("%s: %d plays, broken %v", m.commit, m.plays, m.violations)
+	return fmt.Sprintf("%s: %d plays, broken %v", r.commit, r.plays, r.violations)
 }
 
 // oldestCompatible returns the oldest build from which on all can take part, of builds that come oldest first.
