--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -74,8 +74,8 @@
 			return ctx.Err()
 		}
 	}
-	for _, m := range all {
-		fmt.Println(m)
+	for _, result := range all {
+		fmt.Println(result)
 	}
 	oldest, found := oldestCompatible(all)
 	if !found {
