--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -67,17 +67,17 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	var all []buildResult
+	var results []buildResult
 	for _, commit := range commits {
-		all = append(all, f.play(ctx, commit, plan))
+		results = append(results, f.play(ctx, commit, plan))
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
-	for _, result := range all {
+	for _, result := range results {
 		fmt.Println(result)
 	}
-	oldest, found := oldestCompatible(all)
+	oldest, found := oldestCompatible(results)
 	if !found {
 		fmt.Println("the newest of these builds can't take part")
 		return errViolation
