--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -136,9 +136,9 @@
 }
 
 // oldestCompatible returns the oldest build from which on all can take part, of builds that come oldest first.
-func oldestCompatible(all []buildResult) (commit string, found bool) {
-	for i := len(all) - 1; i >= 0 && all[i].compatible(); i-- {
-		commit, found = all[i].commit, true
+func oldestCompatible(results []buildResult) (commit string, found bool) {
+	for i := len(results) - 1; i >= 0 && results[i].compatible(); i-- {
+		commit, found = results[i].commit, true
 	}
 	return commit, found
 }
