--- a/cmd/kitelab/mix_test.go
+++ b/cmd/kitelab/mix_test.go
@@ -8,8 +8,8 @@
 	"kitetiller/internal/lab/soak"
 )
 
-// TestOldestThatTakesPart: one that broke a promise, or that couldn't be judged, counts with all before it.
-func TestOldestThatTakesPart(t *testing.T) {
+// TestOldestCompatible: one that broke a promise, or that couldn't be judged, counts with all before it.
+func TestOldestCompatible(t *testing.T) {
 	good := func(commit string) buildResult { return buildResult{commit: commit, plays: 1} }
 	broke := buildResult{commit: "broke", plays: 1, violations: map[soak.Promise]int{soak.ServiceBack: 1}}
 	mute := buildResult{commit: "mute", failure: eris.New("acknowledged nothing")}
