--- a/cmd/kitelab/mix_test.go
+++ b/cmd/kitelab/mix_test.go
@@ -10,15 +10,15 @@
 
 // TestOldestCompatible: one that broke a promise, or that couldn't be judged, counts with all before it.
 func TestOldestCompatible(t *testing.T) {
-	good := func(commit string) buildResult { return buildResult{commit: commit, plays: 1} }
+	compatible := func(commit string) buildResult { return buildResult{commit: commit, plays: 1} }
 	broke := buildResult{commit: "broke", plays: 1, violations: map[soak.Promise]int{soak.ServiceBack: 1}}
 	mute := buildResult{commit: "mute", failure: eris.New("acknowledged nothing")}
 	for _, row := range []struct {
 		all    []buildResult
 		wanted string
 	}{
-		{nil, ""}, {[]buildResult{good("a")}, "a"}, {[]buildResult{good("a"), good("b")}, "a"}, {[]buildResult{good("a"), broke, good("c"), good("d")}, "c"},
-		{[]buildResult{mute, good("b")}, "b"}, {[]buildResult{good("a"), mute}, ""},
+		{nil, ""}, {[]buildResult{compatible("a")}, "a"}, {[]buildResult{compatible("a"), compatible("b")}, "a"}, {[]buildResult{compatible("a"), broke, compatible("c"), compatible("d")}, "c"},
+		{[]buildResult{mute, compatible("b")}, "b"}, {[]buildResult{compatible("a"), mute}, ""},
 	} {
 		if got, found := oldestCompatible(row.all); got != row.wanted || found != (row.wanted != "") {
 			t.Errorf("%v: %q, wanted %q", row.all, got, row.wanted)
