--- a/cmd/kitelab/mix_test.go
+++ b/cmd/kitelab/mix_test.go
@@ -12,13 +12,13 @@
 func TestOldestCompatible(t *testing.T) {
 	compatible := func(commit string) buildResult { return buildResult{commit: commit, plays: 1} }
 	violating := buildResult{commit: "broke", plays: 1, violations: map[soak.Promise]int{soak.ServiceBack: 1}}
-	mute := buildResult{commit: "mute", failure: eris.New("acknowledged nothing")}
+	failed := buildResult{commit: "mute", failure: eris.New("acknowledged nothing")}
 	for _, row := range []struct {
 		all    []buildResult
 		wanted string
 	}{
 		{nil, ""}, {[]buildResult{compatible("a")}, "a"}, {[]buildResult{compatible("a"), compatible("b")}, "a"}, {[]buildResult{compatible("a"), violating, compatible("c"), compatible("d")}, "c"},
-		{[]buildResult{mute, compatible("b")}, "b"}, {[]buildResult{compatible("a"), mute}, ""},
+		{[]buildResult{failed, compatible("b")}, "b"}, {[]buildResult{compatible("a"), failed}, ""},
 	} {
 		if got, found := oldestCompatible(row.all); got != row.wanted || found != (row.wanted != "") {
 			t.Errorf("%v: %q, wanted %q", row.all, got, row.wanted)
