--- a/cmd/kitelab/mix_test.go
+++ b/cmd/kitelab/mix_test.go
@@ -14,14 +14,14 @@
 	violating := buildResult{commit: "broke", plays: 1, violations: map[soak.Promise]int{soak.ServiceBack: 1}}
 	failed := buildResult{commit: "mute", failure: eris.New("acknowledged nothing")}
 	for _, row := range []struct {
-		all  []buildResult
-		want string
+		results []buildResult
+		want    string
 	}{
 		{nil, ""}, {[]buildResult{compatible("a")}, "a"}, {[]buildResult{compatible("a"), compatible("b")}, "a"}, {[]buildResult{compatible("a"), violating, compatible("c"), compatible("d")}, "c"},
 		{[]buildResult{failed, compatible("b")}, "b"}, {[]buildResult{compatible("a"), failed}, ""},
 	} {
-		if got, found := oldestCompatible(row.all); got != row.want || found != (row.want != "") {
-			t.Errorf("%v: %q, wanted %q", row.all, got, row.want)
+		if got, found := oldestCompatible(row.results); got != row.want || found != (row.want != "") {
+			t.Errorf("%v: %q, wanted %q", row.results, got, row.want)
 		}
 	}
 }
