--- a/cmd/kitelab/sim.go
+++ b/cmd/kitelab/sim.go
@@ -125,18 +125,18 @@
 		workers.Go(func() {
 			for {
 				mutex.Lock()
-				at := next
+				index := next
 				next++
-				done := at >= stop
+				done := index >= stop
 				mutex.Unlock()
 				if done {
 					return
 				}
-				result := sim.Run(f.firstSeed+uint64(at), guards, nil)
+				result := sim.Run(f.firstSeed+uint64(index), guards, nil)
 				mutex.Lock()
-				results[at] = result
+				results[index] = result
 				if result.Violation != nil {
-					stop = min(stop, at+1)
+					stop = min(stop, index+1)
 				}
 				mutex.Unlock()
 			}
