--- a/cmd/kitelab/soak.go
+++ b/cmd/kitelab/soak.go
@@ -42,9 +42,9 @@
 }
 
 func (f *soakFlags) run() error {
-	off := soak.Promise(f.guardOff)
+	breakPromise := soak.Promise(f.guardOff)
 	able := []soak.Promise{soak.WithinLimit, soak.AtMostOnce, soak.OwnAnswer, soak.HeldBack, soak.NotForged, soak.RestGiven, soak.LeaveHeard, soak.LimitNamed, soak.ConfigKept}
-	if off != "" && !slices.Contains(able, off) {
+	if breakPromise != "" && !slices.Contains(able, breakPromise) {
 		return eris.Errorf("%q cannot be broken on purpose; %v can", f.guardOff, able)
 	}
 	if f.minutes <= 0 {
@@ -57,7 +57,7 @@
 	fmt.Printf("seed %d, %.0f s\n", plan.Seed, plan.Length().Seconds())
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	broken, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: f.other, Plan: plan, Dir: f.keep, BreakPromise: off, Out: os.Stdout})
+	broken, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: f.other, Plan: plan, Dir: f.keep, BreakPromise: breakPromise, Out: os.Stdout})
 	if err != nil {
 		return err
 	}
