--- a/cmd/kitelab/soak.go
+++ b/cmd/kitelab/soak.go
@@ -43,9 +43,9 @@
 
 func (f *soakFlags) run() error {
 	breakPromise := soak.Promise(f.guardOff)
-	able := []soak.Promise{soak.WithinLimit, soak.AtMostOnce, soak.OwnAnswer, soak.HeldBack, soak.NotForged, soak.RestGiven, soak.LeaveHeard, soak.LimitNamed, soak.ConfigKept}
-	if breakPromise != "" && !slices.Contains(able, breakPromise) {
-		return eris.Errorf("%q cannot be broken on purpose; %v can", f.guardOff, able)
+	breakable := []soak.Promise{soak.WithinLimit, soak.AtMostOnce, soak.OwnAnswer, soak.HeldBack, soak.NotForged, soak.RestGiven, soak.LeaveHeard, soak.LimitNamed, soak.ConfigKept}
+	if breakPromise != "" && !slices.Contains(breakable, breakPromise) {
+		return eris.Errorf("%q cannot be broken on purpose; %v can", f.guardOff, breakable)
 	}
 	if f.minutes <= 0 {
 		return eris.New("--minutes must be above 0")
