--- a/cmd/kitelab/soak.go
+++ b/cmd/kitelab/soak.go
@@ -57,11 +57,11 @@
 	fmt.Printf("seed %d, %.0f s\n", plan.Seed, plan.Length().Seconds())
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	broken, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: f.other, Plan: plan, Dir: f.keep, BreakPromise: breakPromise, Out: os.Stdout})
+	violations, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: f.other, Plan: plan, Dir: f.keep, BreakPromise: breakPromise, Out: os.Stdout})
 	if err != nil {
 		return err
 	}
-	if len(broken) > 0 {
+	if len(violations) > 0 {
 		return errViolation
 	}
 	return nil
