--- a/cmd/kitelab/standins.go
+++ b/cmd/kitelab/standins.go
@@ -151,7 +151,7 @@
 	sub.String(&data, "d", "data", "folder for node files, logs and data")
 	sub.Int(&spares, "", "spares", "spare control replicas")
 	return command{sub, func() error {
-		if err := checkTree(deployment); err != nil {
+		if err := validateSettings(deployment); err != nil {
 			return err
 		}
 		layout, err := fleet.Create(deployment, data, spares)
@@ -162,8 +162,8 @@
 	}}
 }
 
-// checkTree refuses a deployment whose tree could not be accepted later.
-func checkTree(path string) error {
+// validateSettings refuses a deployment whose tree could not be accepted later.
+func validateSettings(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return eris.Wrapf(err, "read %s", path)
