--- a/cmd/kitetiller/main.go
+++ b/cmd/kitetiller/main.go
@@ -27,22 +27,22 @@
 
 // arguments holds every flag and positional value of the command line.
 type arguments struct {
-	without   string // mechanisms that are off
-	options   operator.Options
-	change    operator.ChangeOptions
-	file      string
-	listen    string
-	data      string
-	zone      string
-	logLevel  string
-	path      string
-	setting   string
-	value     string
-	request   string
-	role      string
-	logs      string
-	release   string
-	effective bool
+	disabledMechanisms string // mechanisms that are off
+	options            operator.Options
+	change             operator.ChangeOptions
+	file               string
+	listen             string
+	data               string
+	zone               string
+	logLevel           string
+	path               string
+	setting            string
+	value              string
+	request            string
+	role               string
+	logs               string
+	release            string
+	effective          bool
 }
 
 // command is one subcommand and what runs it.
@@ -93,7 +93,7 @@
 	platformCommand.Description = "run a process on the users' platform, with its settings file"
 	platformCommand.AddPositionalValue(&args.role, "ROLE", 1, true, platform.RoleGateway+" or "+platform.RoleControl)
 	platformCommand.AddPositionalValue(&args.file, "FILE", 2, true, "settings file of this process")
-	platformCommand.String(&args.without, "", "without", "mechanisms of the decision to switch off, with commas, to measure what they are worth")
+	platformCommand.String(&args.disabledMechanisms, "", "without", "mechanisms of the decision to switch off, with commas, to measure what they are worth")
 	versionCommand := flaggy.NewSubcommand("version")
 	versionCommand.Description = "print the version"
 	parser.AttachSubcommand(routerCommand, 1)
@@ -102,7 +102,7 @@
 	parser.AttachSubcommand(versionCommand, 1)
 	commands := []command{
 		{routerCommand, runRouter}, {controlCommand, runControl},
-		{platformCommand, func(args *arguments) error { return platform.Run(args.role, args.file, args.without) }},
+		{platformCommand, func(args *arguments) error { return platform.Run(args.role, args.file, args.disabledMechanisms) }},
 		{versionCommand, func(*arguments) error { fmt.Println("kitetiller", version); return nil }},
 	}
 	commands = append(commands, defineViews(parser, args)...)
