--- a/cmd/kitetiller/main.go
+++ b/cmd/kitetiller/main.go
@@ -151,18 +151,18 @@
 	explain.AddPositionalValue(&args.request, "REQUEST", 1, true, "the request's X-Request-Id")
 	operatorFlags(explain, args)
 	explain.String(&args.logs, "", "logs", "log files, with commas: tell the story of a request or an instance from them")
-	held := flaggy.NewSubcommand("held")
-	held.Description = "show the requests under which back ends ended, and let them be sent again"
-	operatorFlags(held, args)
-	held.String(&args.release, "", "release", "fingerprints of requests that may be sent again, with commas")
-	for _, sub := range []*flaggy.Subcommand{status, members, explain, held} {
+	quarantined := flaggy.NewSubcommand("held")
+	quarantined.Description = "show the requests under which back ends ended, and let them be sent again"
+	operatorFlags(quarantined, args)
+	quarantined.String(&args.release, "", "release", "fingerprints of requests that may be sent again, with commas")
+	for _, sub := range []*flaggy.Subcommand{status, members, explain, quarantined} {
 		parser.AttachSubcommand(sub, 1)
 	}
 	return []command{
 		{status, withOperator(func(o *operator.Command, _ *arguments) error { return o.Status() })},
 		{members, withOperator(func(o *operator.Command, _ *arguments) error { return o.Members() })},
 		{explain, explainRequest},
-		{held, withOperator(func(o *operator.Command, a *arguments) error {
+		{quarantined, withOperator(func(o *operator.Command, a *arguments) error {
 			if a.release != "" {
 				return o.Release(a.release)
 			}
