--- a/cmd/kitetiller/main.go
+++ b/cmd/kitetiller/main.go
@@ -173,11 +173,11 @@
 
 func withOperator(run func(*operator.Command, *arguments) error) func(*arguments) error {
 	return func(args *arguments) error {
-		prepared, err := operator.New(args.options)
+		command, err := operator.New(args.options)
 		if err != nil {
 			return err
 		}
-		return run(prepared, args)
+		return run(command, args)
 	}
 }
 
