--- a/cmd/kitelab/account.go
+++ b/cmd/kitelab/account.go
@@ -56,7 +56,7 @@
 	return account.Plot(f.plot, days, f.span)
 }
 
-// days returns the days of the reports, and that of the log.
+// days returns one day for each report, and one for the log file.
 func (f *accountFlags) days() ([]account.Day, error) {
 	var days []account.Day
 	if f.reports != "" {
