--- a/cmd/kitelab/bench.go
+++ b/cmd/kitelab/bench.go
@@ -50,7 +50,7 @@
 	return command{sub, flags.run}
 }
 
-// deploymentFile returns the file of a deployment by name or path.
+// deploymentFile returns the path of a deployment file, given as a path or as the name of a file in configs.
 func deploymentFile(name string) string {
 	if filepath.Ext(name) != "" {
 		return name
@@ -105,10 +105,11 @@
 	return nil
 }
 
-// overloadScales are factors on the deployment's rate; the engines saturate near the deployment's own.
+// overloadScales are factors on the deployment's request rate. The engines saturate at a factor near 1.
 var overloadScales = []float64{0.5, 1, 1.5, 2, 3}
 
-// runOverload runs the best baselines and the router at rising rates, undisturbed.
+// runOverload compares the hash policies and the router at increasing request rates, without crashes or shifts of hot
+// prefixes.
 func (f *benchFlags) runOverload(options bench.Options) error {
 	options.Disturbed = false
 	var all []bench.Row
@@ -133,7 +134,7 @@
 	return f.runGoodput()
 }
 
-// runGoodput shows what refusing in time is worth, on a stand-in of an engine fleet.
+// runGoodput measures how early rejection affects goodput, on emulated engines.
 func (f *benchFlags) runGoodput() error {
 	points := bench.GoodputCurve(f.firstSeed)
 	text := bench.GoodputMarkdown(points)
