--- a/cmd/kitelab/main.go
+++ b/cmd/kitelab/main.go
@@ -1,4 +1,5 @@
-// Command kitelab is the laboratory: stand-ins for the outside world, load, simulation, bench and scale runs.
+// Command kitelab runs test tools for kitetiller: stand-ins for external systems, load generation, simulation, soak
+// tests, benchmarks and scale measurements.
 package main
 
 import (
@@ -14,13 +15,13 @@
 	exitUsage   = 2
 )
 
-// command is one subcommand: its parser is filled by define, and run carries it out.
+// command is one subcommand: the parser of its flags and the function that runs it.
 type command struct {
 	parser *flaggy.Subcommand
 	run    func() error
 }
 
-// errViolation makes the program exit 1 without a message of its own.
+// errViolation makes the program exit with status 1 without an error message: the violations were printed already.
 var errViolation = eris.New("")
 
 func main() {
