--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -16,7 +16,7 @@
 	"kitetiller/platform/standin"
 )
 
-// rollingPlan stops each process twice, one after the other, so that every one runs both builds.
+// rollingPlan restarts each process twice, one process at a time, so that each of them runs both builds.
 const rollingPlan = "platform/standin/testdata/upgrade/rolling.json"
 
 // mixFlags are the arguments of "kitelab mix".
@@ -43,12 +43,12 @@
 	return command{sub, flags.run}
 }
 
-// buildResult is how the plays with one earlier build went.
+// buildResult summarizes the soak runs with one earlier build.
 type buildResult struct {
 	commit     string
 	plays      int
 	violations map[soak.Promise]int
-	failure    error // why a play could not be judged, or the build not made
+	failure    error // why the build failed or a run was inconclusive
 }
 
 func (r buildResult) compatible() bool { return r.failure == nil && len(r.violations) == 0 }
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// earlierCommits returns the commits whose builds are to be played.
+// earlierCommits returns the commits whose builds are tested.
 func (f *mixFlags) earlierCommits() ([]string, error) {
 	if f.commits != "" {
 		return strings.Split(f.commits, ","), nil
@@ -95,7 +95,7 @@
 	return []string{commit}, err
 }
 
-// play plays a plan with the build of a commit beside this one, once for each seed.
+// play runs a plan with the build of a commit beside this one, once for each seed.
 func (f *mixFlags) play(ctx context.Context, commit string, plan soak.Plan) buildResult {
 	result := buildResult{commit: commit, violations: map[soak.Promise]int{}}
 	other, err := earlier.Build(ctx, ".", commit, "cmd/kitetiller", f.programs)
@@ -119,7 +119,7 @@
 	return result
 }
 
-// playDir returns the folder that a play is playDir in, or "".
+// playDir returns the folder for the files of one run, or "" if they are not kept.
 func (f *mixFlags) playDir(commit string, seed uint64) string {
 	if f.keep == "" {
 		return ""
@@ -127,7 +127,6 @@
 	return filepath.Join(f.keep, fmt.Sprint(commit, "-", seed))
 }
 
-// String tells how the plays went.
 func (r buildResult) String() string {
 	if r.failure != nil {
 		return fmt.Sprintf("%s: not judged after %d plays: %s", r.commit, r.plays, eris.ToString(r.failure, false))
@@ -135,7 +134,8 @@
 	return fmt.Sprintf("%s: %d plays, broken %v", r.commit, r.plays, r.violations)
 }
 
-// oldestCompatible returns the oldest build from which on all can take part, of builds that come oldest first.
+// oldestCompatible returns the oldest commit such that its build and all later ones are compatible. Results are ordered
+// from oldest to newest.
 func oldestCompatible(results []buildResult) (commit string, found bool) {
 	for i := len(results) - 1; i >= 0 && results[i].compatible(); i-- {
 		commit, found = results[i].commit, true
