--- a/cmd/kitelab/mix_test.go
+++ b/cmd/kitelab/mix_test.go
@@ -8,7 +8,7 @@
 	"kitetiller/internal/lab/soak"
 )
 
-// TestOldestCompatible: one that broke a promise, or that couldn't be judged, counts with all before it.
+// A build that broke a promise, or whose runs were inconclusive, excludes itself and all older builds.
 func TestOldestCompatible(t *testing.T) {
 	compatible := func(commit string) buildResult { return buildResult{commit: commit, plays: 1} }
 	violating := buildResult{commit: "broke", plays: 1, violations: map[soak.Promise]int{soak.ServiceBack: 1}}
@@ -21,7 +21,7 @@
 		{[]buildResult{failed, compatible("b")}, "b"}, {[]buildResult{compatible("a"), failed}, ""},
 	} {
 		if got, found := oldestCompatible(row.results); got != row.want || found != (row.want != "") {
-			t.Errorf("%v: %q, wanted %q", row.results, got, row.want)
+			t.Errorf("%v: got %q, want %q", row.results, got, row.want)
 		}
 	}
 }
