--- a/cmd/kitelab/sim.go
+++ b/cmd/kitelab/sim.go
@@ -15,7 +15,7 @@
 	"kitetiller/internal/lab/sim"
 )
 
-// traceLines is how much of a violation's trace is printed.
+// traceLines is the number of lines printed from the end of a violation's trace.
 const traceLines = 150
 
 // simFlags are the arguments of "kitelab sim".
@@ -88,7 +88,7 @@
 	return eris.Wrap(file.Close(), "close trace file")
 }
 
-// runSeeds runs seeds at once and stops at the lowest one that breaks an invariant.
+// runSeeds runs the seeds in parallel, prints a summary and reports the lowest seed that violates an invariant.
 func (f *simFlags) runSeeds(guards guard.Set) error {
 	started := time.Now()
 	results := f.collect(guards)
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// collect returns the results in order of seeds, up to the first violation at least.
+// collect returns the results in order of seeds. Once a violation is found, later seeds are not started.
 func (f *simFlags) collect(guards guard.Set) []sim.Result {
 	results := make([]sim.Result, f.seeds)
 	var mutex sync.Mutex
@@ -146,7 +146,7 @@
 	return results[:stop]
 }
 
-// printViolation runs the seed once more with a trace and prints the end of it.
+// printViolation replays the seed with tracing and prints the end of the trace.
 func (f *simFlags) printViolation(guards guard.Set, result sim.Result) {
 	var trace bytes.Buffer
 	sim.Run(result.Seed, guards, &trace)
