--- a/cmd/kitelab/soak.go
+++ b/cmd/kitelab/soak.go
@@ -45,7 +45,7 @@
 	breakPromise := soak.Promise(f.guardOff)
 	breakable := []soak.Promise{soak.WithinLimit, soak.AtMostOnce, soak.OwnAnswer, soak.HeldBack, soak.NotForged, soak.RestGiven, soak.LeaveHeard, soak.LimitNamed, soak.ConfigKept}
 	if breakPromise != "" && !slices.Contains(breakable, breakPromise) {
-		return eris.Errorf("%q cannot be broken on purpose; %v can", f.guardOff, breakable)
+		return eris.Errorf("promise %q cannot be broken on purpose; supported: %v", f.guardOff, breakable)
 	}
 	if f.minutes <= 0 {
 		return eris.New("--minutes must be above 0")
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// readPlan reads the plan, or draws one.
+// readPlan reads the plan file, or generates a plan from the seed if no file is given.
 func (f *soakFlags) readPlan() (soak.Plan, error) {
 	if f.plan != "" {
 		return soak.Read(f.plan)
