--- a/cmd/kitelab/standins.go
+++ b/cmd/kitelab/standins.go
@@ -17,7 +17,7 @@
 	"kitetiller/internal/settings"
 )
 
-// standinFlags are what every stand-in process takes.
+// standinFlags are the flags common to all stand-in processes.
 type standinFlags struct {
 	name       string
 	zone       string
@@ -37,7 +37,7 @@
 	Run(ctx context.Context) error
 }
 
-// serve loads the deployment, makes the stand-in and runs it until a stop signal.
+// serve loads the deployment, creates the stand-in and runs it until a stop signal arrives.
 func (f *standinFlags) serve(kind string, build func(*plan.Deployment, *zap.Logger) (runner, error)) error {
 	if f.listen == "" || f.deployment == "" {
 		return eris.New("--listen and --deployment are needed")
@@ -79,7 +79,7 @@
 	}}
 }
 
-// blockTokens is the block length of local fleets: the default of node files.
+// blockTokens is the number of tokens in a cache block of local fleets, as in the default of node files.
 const blockTokens = 64
 
 func defineBackend() command {
@@ -162,7 +162,7 @@
 	}}
 }
 
-// validateSettings refuses a deployment whose tree could not be accepted later.
+// validateSettings rejects a deployment file whose settings tree control would not accept.
 func validateSettings(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
