--- a/cmd/kitetiller/main.go
+++ b/cmd/kitetiller/main.go
@@ -1,5 +1,5 @@
-// Command kitetiller is the router for language-model traffic: its data plane, its control replicas, and the
-// operators' commands.
+// Command kitetiller runs routers and control replicas for language-model traffic, and provides the operators'
+// commands.
 package main
 
 import (
@@ -27,7 +27,7 @@
 
 // arguments holds every flag and positional value of the command line.
 type arguments struct {
-	disabledMechanisms string // mechanisms that are off
+	disabledMechanisms string // mechanisms to disable, separated by commas
 	options            operator.Options
 	change             operator.ChangeOptions
 	file               string
@@ -45,7 +45,7 @@
 	effective          bool
 }
 
-// command is one subcommand and what runs it.
+// command is one subcommand: the parser of its flags and the function that runs it.
 type command struct {
 	parser *flaggy.Subcommand
 	run    func(*arguments) error
@@ -131,7 +131,7 @@
 	sub.Bool(&args.change.Wait, "w", "wait", "wait until the change is in force everywhere")
 }
 
-// explainRequest asks the routers, or reads log files where some are named.
+// explainRequest reads the given log files, or queries the routers if there are none.
 func explainRequest(args *arguments) error {
 	if args.logs != "" {
 		return operator.ExplainLogs(os.Stdout, strings.Split(args.logs, ","), args.request)
@@ -227,7 +227,7 @@
 	return nil
 }
 
-// loadNode reads the process's file and applies the flags that override it.
+// loadNode reads the process's settings file and applies the flags that override it.
 func loadNode(args *arguments) (*node.File, error) {
 	file, err := node.Load(args.file)
 	if err != nil {
@@ -255,7 +255,7 @@
 		return err
 	}
 	if file.Router == nil {
-		return eris.Errorf("%s has no section router", args.file)
+		return eris.Errorf("%s has no router section", args.file)
 	}
 	log, err := node.NewLogger(file.LogLevel, file.Name)
 	if err != nil {
@@ -277,7 +277,7 @@
 		return err
 	}
 	if file.Control == nil {
-		return eris.Errorf("%s has no section control", args.file)
+		return eris.Errorf("%s has no control section", args.file)
 	}
 	log, err := node.NewLogger(file.LogLevel, file.Name)
 	if err != nil {
