--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -46,7 +46,7 @@
 // buildResult summarizes the soak runs with one earlier build.
 type buildResult struct {
 	commit     string
-	plays      int
+	runs       int
 	violations map[soak.Promise]int
 	failure    error // why the build failed or a run was inconclusive
 }
@@ -111,7 +111,7 @@
 			result.failure = err
 			return result
 		}
-		result.plays++
+		result.runs++
 		for _, violation := range violations {
 			result.violations[violation.Promise]++
 		}
@@ -129,9 +129,9 @@
 
 func (r buildResult) String() string {
 	if r.failure != nil {
-		return fmt.Sprintf("%s: not judged after %d plays: %s", r.commit, r.plays, eris.ToString(r.failure, false))
+		return fmt.Sprintf("%s: not judged after %d plays: %s", r.commit, r.runs, eris.ToString(r.failure, false))
 	}
-	return fmt.Sprintf("%s: %d plays, broken %v", r.commit, r.plays, r.violations)
+	return fmt.Sprintf("%s: %d plays, broken %v", r.commit, r.runs, r.violations)
 }
 
 // oldestCompatible returns the oldest commit such that its build and all later ones are compatible. Results are ordered
--- a/cmd/kitelab/mix_test.go
+++ b/cmd/kitelab/mix_test.go
@@ -10,8 +10,8 @@
 
 // A build that broke a promise, or whose runs were inconclusive, excludes itself and all older builds.
 func TestOldestCompatible(t *testing.T) {
-	compatible := func(commit string) buildResult { return buildResult{commit: commit, plays: 1} }
-	violating := buildResult{commit: "broke", plays: 1, violations: map[soak.Promise]int{soak.ServiceBack: 1}}
+	compatible := func(commit string) buildResult { return buildResult{commit: commit, runs: 1} }
+	violating := buildResult{commit: "broke", runs: 1, violations: map[soak.Promise]int{soak.ServiceBack: 1}}
 	failed := buildResult{commit: "mute", failure: eris.New("acknowledged nothing")}
 	for _, row := range []struct {
 		results []buildResult
