--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -21,22 +21,22 @@
 
 // mixFlags are the arguments of "kitelab mix".
 type mixFlags struct {
-	commits  string
-	plan     string
-	seeds    int
-	first    uint64
-	program  string
-	programs string
-	keep     string
+	commits   string
+	plan      string
+	seeds     int
+	firstSeed uint64
+	program   string
+	programs  string
+	keep      string
 }
 
 func defineMix() command {
-	flags := &mixFlags{plan: rollingPlan, seeds: 1, first: 1, program: filepath.Join(filepath.Dir(os.Args[0]), "kitetiller"), programs: filepath.Join(filepath.Dir(os.Args[0]), "earlier")}
+	flags := &mixFlags{plan: rollingPlan, seeds: 1, firstSeed: 1, program: filepath.Join(filepath.Dir(os.Args[0]), "kitetiller"), programs: filepath.Join(filepath.Dir(os.Args[0]), "earlier")}
 	sub := newSubcommand("mix", "play a soak with the builds of earlier commits beside this one, in the repository's root; tells which can take part")
 	sub.String(&flags.commits, "c", "commits", "earlier commits, oldest first, apart by commas (default: the one in production, by deploy/system.toml)")
 	sub.String(&flags.plan, "p", "plan", "plan to play")
 	sub.Int(&flags.seeds, "n", "seeds", "plays for each commit")
-	sub.UInt64(&flags.first, "s", "first-seed", "seed of the first play")
+	sub.UInt64(&flags.firstSeed, "s", "first-seed", "seed of the first play")
 	sub.String(&flags.program, "", "program", "this build's program file")
 	sub.String(&flags.programs, "", "programs", "folder to keep earlier programs in")
 	sub.String(&flags.keep, "k", "keep", "folder to keep plans, settings, data and logs in, by commit and seed")
@@ -103,7 +103,7 @@
 		result.failure = err
 		return result
 	}
-	for seed := f.first; seed < f.first+uint64(f.seeds); seed++ {
+	for seed := f.firstSeed; seed < f.firstSeed+uint64(f.seeds); seed++ {
 		plan.Seed = seed
 		fmt.Printf("== %s beside this build, seed %d\n", commit, seed)
 		violations, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: other, Plan: plan, Dir: f.playDir(commit, seed), Out: os.Stdout})
