--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -21,24 +21,24 @@
 
 // mixFlags are the arguments of "kitelab mix".
 type mixFlags struct {
-	commits   string
-	plan      string
-	seeds     int
-	firstSeed uint64
-	program   string
-	programs  string
-	keep      string
+	commits    string
+	plan       string
+	seeds      int
+	firstSeed  uint64
+	program    string
+	programDir string
+	keep       string
 }
 
 func defineMix() command {
-	flags := &mixFlags{plan: rollingPlan, seeds: 1, firstSeed: 1, program: filepath.Join(filepath.Dir(os.Args[0]), "kitetiller"), programs: filepath.Join(filepath.Dir(os.Args[0]), "earlier")}
+	flags := &mixFlags{plan: rollingPlan, seeds: 1, firstSeed: 1, program: filepath.Join(filepath.Dir(os.Args[0]), "kitetiller"), programDir: filepath.Join(filepath.Dir(os.Args[0]), "earlier")}
 	sub := newSubcommand("mix", "play a soak with the builds of earlier commits beside this one, in the repository's root; tells which can take part")
 	sub.String(&flags.commits, "c", "commits", "earlier commits, oldest first, apart by commas (default: the one in production, by deploy/system.toml)")
 	sub.String(&flags.plan, "p", "plan", "plan to play")
 	sub.Int(&flags.seeds, "n", "seeds", "plays for each commit")
 	sub.UInt64(&flags.firstSeed, "s", "first-seed", "seed of the first play")
 	sub.String(&flags.program, "", "program", "this build's program file")
-	sub.String(&flags.programs, "", "programs", "folder to keep earlier programs in")
+	sub.String(&flags.programDir, "", "programs", "folder to keep earlier programs in")
 	sub.String(&flags.keep, "k", "keep", "folder to keep plans, settings, data and logs in, by commit and seed")
 	return command{sub, flags.run}
 }
@@ -98,7 +98,7 @@
 // play runs a plan with the build of a commit beside this one, once for each seed.
 func (f *mixFlags) play(ctx context.Context, commit string, plan soak.Plan) buildResult {
 	result := buildResult{commit: commit, violations: map[soak.Promise]int{}}
-	other, err := earlier.Build(ctx, ".", commit, "cmd/kitetiller", f.programs)
+	other, err := earlier.Build(ctx, ".", commit, "cmd/kitetiller", f.programDir)
 	if err != nil {
 		result.failure = err
 		return result
