--- a/cmd/kitelab/soak.go
+++ b/cmd/kitelab/soak.go
@@ -19,13 +19,13 @@
 
 // soakFlags are the arguments of "kitelab soak".
 type soakFlags struct {
-	minutes  float64
-	seed     uint64
-	plan     string
-	keep     string
-	program  string
-	other    string
-	guardOff string
+	minutes      float64
+	seed         uint64
+	plan         string
+	keep         string
+	program      string
+	otherProgram string
+	guardOff     string
 }
 
 func defineSoak() command {
@@ -36,7 +36,7 @@
 	sub.String(&flags.plan, "p", "plan", "plan to play, instead of drawing one")
 	sub.String(&flags.keep, "k", "keep", "folder to keep plan, settings, data and logs in")
 	sub.String(&flags.program, "", "program", "kitetiller's program file")
-	sub.String(&flags.other, "o", "other-program", "program file of another build: half of the processes begin with it, and each start changes the build")
+	sub.String(&flags.otherProgram, "o", "other-program", "program file of another build: half of the processes begin with it, and each start changes the build")
 	sub.String(&flags.guardOff, "g", "guard-off", "break one promise on purpose (see docs/operations/soak.md), to see that its check fails")
 	return command{sub, flags.run}
 }
@@ -57,7 +57,7 @@
 	fmt.Printf("seed %d, %.0f s\n", plan.Seed, plan.Length().Seconds())
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	violations, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: f.other, Plan: plan, Dir: f.keep, BreakPromise: breakPromise, Out: os.Stdout})
+	violations, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: f.otherProgram, Plan: plan, Dir: f.keep, BreakPromise: breakPromise, Out: os.Stdout})
 	if err != nil {
 		return err
 	}
