--- a/cmd/kitelab/load.go
+++ b/cmd/kitelab/load.go
@@ -25,7 +25,7 @@
 	seed        uint64
 	out         string
 	allowBroken bool
-	hangUps     bool
+	disconnects bool
 	noService   bool
 	label       string
 }
@@ -42,7 +42,7 @@
 	sub.UInt64(&flags.seed, "s", "seed", "seed of the traffic")
 	sub.String(&flags.out, "o", "out", "file for the result as JSON")
 	sub.Bool(&flags.allowBroken, "", "allow-broken", "broken connections are expected: a process is killed on purpose")
-	sub.Bool(&flags.hangUps, "", "hang-ups", "some callers hang up")
+	sub.Bool(&flags.disconnects, "", "hang-ups", "some callers hang up")
 	sub.Bool(&flags.noService, "", "without-service", "send nothing to the small service")
 	sub.String(&flags.label, "", "label", "word before the last line")
 	return command{sub, flags.run}
@@ -62,7 +62,7 @@
 	result, err := load.Run(ctx, load.Options{
 		Deployment: deployment, Routers: splitList(f.routers), Keys: splitList(f.keys), Backends: splitList(f.backends),
 		Duration: f.duration, Rate: f.rate, Seed: f.seed, AllowBroken: f.allowBroken, Progress: os.Stderr,
-		HangUps: f.hangUps, WithoutService: f.noService,
+		HangUps: f.disconnects, WithoutService: f.noService,
 	})
 	if err != nil {
 		return err
