--- a/cmd/kitelab/load.go
+++ b/cmd/kitelab/load.go
@@ -16,18 +16,18 @@
 
 // loadFlags are the arguments of "kitelab load".
 type loadFlags struct {
-	deployment  string
-	routers     string
-	keys        string
-	backends    string
-	duration    time.Duration
-	rate        float64
-	seed        uint64
-	out         string
-	allowBroken bool
-	disconnects bool
-	noService   bool
-	label       string
+	deployment     string
+	routers        string
+	keys           string
+	backends       string
+	duration       time.Duration
+	rate           float64
+	seed           uint64
+	out            string
+	allowBroken    bool
+	disconnects    bool
+	withoutService bool
+	label          string
 }
 
 func defineLoad() command {
@@ -43,7 +43,7 @@
 	sub.String(&flags.out, "o", "out", "file for the result as JSON")
 	sub.Bool(&flags.allowBroken, "", "allow-broken", "broken connections are expected: a process is killed on purpose")
 	sub.Bool(&flags.disconnects, "", "hang-ups", "some callers hang up")
-	sub.Bool(&flags.noService, "", "without-service", "send nothing to the small service")
+	sub.Bool(&flags.withoutService, "", "without-service", "send nothing to the small service")
 	sub.String(&flags.label, "", "label", "word before the last line")
 	return command{sub, flags.run}
 }
@@ -62,7 +62,7 @@
 	result, err := load.Run(ctx, load.Options{
 		Deployment: deployment, Routers: splitList(f.routers), Keys: splitList(f.keys), Backends: splitList(f.backends),
 		Duration: f.duration, Rate: f.rate, Seed: f.seed, AllowBroken: f.allowBroken, Progress: os.Stderr,
-		HangUps: f.disconnects, WithoutService: f.noService,
+		HangUps: f.disconnects, WithoutService: f.withoutService,
 	})
 	if err != nil {
 		return err
