--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -22,7 +22,7 @@
 }
 
 // String returns "line N: path: message".
-func (f Problem) String() string { return fmt.Sprintf("line %d: %s: %s", f.Line, f.Path, f.Message) }
+func (p Problem) String() string { return fmt.Sprintf("line %d: %s: %s", p.Line, p.Path, p.Message) }
 
 // decoder fills typed structs from YAML and collects every fault.
 type decoder struct {
