--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -112,14 +112,14 @@
 	sort.Strings(allowedKeys)
 	for _, member := range d.mappingEntries(node, path) {
 		key := strings.Trim(member.Key.String(), `"'`)
-		at := joinPath(path, key)
-		d.lines[at] = lineOf(member.Key)
+		entryPath := joinPath(path, key)
+		d.lines[entryPath] = lineOf(member.Key)
 		index, known := fieldIndexes[key]
 		if !known {
-			d.addProblem(member.Key, at, "unknown key; allowed here: "+strings.Join(allowedKeys, ", "))
+			d.addProblem(member.Key, entryPath, "unknown key; allowed here: "+strings.Join(allowedKeys, ", "))
 			continue
 		}
-		d.decodeValue(member.Value, target.Field(index), at)
+		d.decodeValue(member.Value, target.Field(index), entryPath)
 	}
 }
 
