--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -127,10 +127,10 @@
 	target.Set(reflect.MakeMap(target.Type()))
 	for _, member := range d.mappingEntries(node, path) {
 		key := strings.Trim(member.Key.String(), `"'`)
-		at := joinPath(path, key)
-		d.lines[at] = lineOf(member.Key)
+		entryPath := joinPath(path, key)
+		d.lines[entryPath] = lineOf(member.Key)
 		element := reflect.New(target.Type().Elem()).Elem()
-		d.decodeValue(member.Value, element, at)
+		d.decodeValue(member.Value, element, entryPath)
 		target.SetMapIndex(reflect.ValueOf(key), element)
 	}
 }
