--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -142,10 +142,10 @@
 		return
 	}
 	for i, item := range list.Values {
-		at := fmt.Sprintf("%s[%d]", path, i)
-		d.lines[at] = lineOf(item)
+		itemPath := fmt.Sprintf("%s[%d]", path, i)
+		d.lines[itemPath] = lineOf(item)
 		element := reflect.New(target.Type().Elem()).Elem()
-		d.decodeValue(item, element, at)
+		d.decodeValue(item, element, itemPath)
 		target.Set(reflect.Append(target, element))
 	}
 }
