--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -110,16 +110,16 @@
 		}
 	}
 	sort.Strings(allowedKeys)
-	for _, member := range d.mappingEntries(node, path) {
-		key := strings.Trim(member.Key.String(), `"'`)
+	for _, entry := range d.mappingEntries(node, path) {
+		key := strings.Trim(entry.Key.String(), `"'`)
 		entryPath := joinPath(path, key)
-		d.lines[entryPath] = lineOf(member.Key)
+		d.lines[entryPath] = lineOf(entry.Key)
 		index, known := fieldIndexes[key]
 		if !known {
-			d.addProblem(member.Key, entryPath, "unknown key; allowed here: "+strings.Join(allowedKeys, ", "))
+			d.addProblem(entry.Key, entryPath, "unknown key; allowed here: "+strings.Join(allowedKeys, ", "))
 			continue
 		}
-		d.decodeValue(member.Value, target.Field(index), entryPath)
+		d.decodeValue(entry.Value, target.Field(index), entryPath)
 	}
 }
 
