--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -125,12 +125,12 @@
 
 func (d *decoder) decodeMap(node ast.Node, target reflect.Value, path string) {
 	target.Set(reflect.MakeMap(target.Type()))
-	for _, member := range d.mappingEntries(node, path) {
-		key := strings.Trim(member.Key.String(), `"'`)
+	for _, entry := range d.mappingEntries(node, path) {
+		key := strings.Trim(entry.Key.String(), `"'`)
 		entryPath := joinPath(path, key)
-		d.lines[entryPath] = lineOf(member.Key)
+		d.lines[entryPath] = lineOf(entry.Key)
 		element := reflect.New(target.Type().Elem()).Elem()
-		d.decodeValue(member.Value, element, entryPath)
+		d.decodeValue(entry.Value, element, entryPath)
 		target.SetMapIndex(reflect.ValueOf(key), element)
 	}
 }
