--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -95,20 +95,20 @@
 }
 
 // run is the thread that writes, and tells how many lines were dropped.
-func (r *asyncWriter) run(reportDropped func(count uint64)) {
-	r.runWithInterval(droppedReportInterval, reportDropped)
+func (w *asyncWriter) run(reportDropped func(count uint64)) {
+	w.runWithInterval(droppedReportInterval, reportDropped)
 }
 
-func (r *asyncWriter) runWithInterval(interval time.Duration, reportDropped func(count uint64)) {
+func (w *asyncWriter) runWithInterval(interval time.Duration, reportDropped func(count uint64)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	reported := uint64(0)
 	for {
 		select {
-		case line := <-r.lines:
-			_, _ = r.out.Write(line) // a reader that is gone cannot be told
+		case line := <-w.lines:
+			_, _ = w.out.Write(line) // a reader that is gone cannot be told
 		case <-ticker.C:
-			if count := r.dropped.Load(); count > reported {
+			if count := w.dropped.Load(); count > reported {
 				reportDropped(count - reported)
 				reported = count
 			}
@@ -117,18 +117,18 @@
 }
 
 // Write takes a line, or drops it when the ring is full.
-func (r *asyncWriter) Write(line []byte) (int, error) {
+func (w *asyncWriter) Write(line []byte) (int, error) {
 	select {
-	case r.lines <- append([]byte(nil), line...):
+	case w.lines <- append([]byte(nil), line...):
 	default:
-		r.dropped.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
 // Sync waits a little for the lines that are left.
-func (r *asyncWriter) Sync() error {
-	for deadline := time.Now().Add(logFlushTimeout); len(r.lines) > 0 && time.Now().Before(deadline); {
+func (w *asyncWriter) Sync() error {
+	for deadline := time.Now().Add(logFlushTimeout); len(w.lines) > 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	return nil
