--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -18,21 +18,21 @@
 	lines     []string // guarded by mu
 }
 
-func (s *blockingWriter) Write(line []byte) (int, error) {
-	<-s.unblocked
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lines = append(s.lines, string(line))
+func (w *blockingWriter) Write(line []byte) (int, error) {
+	<-w.unblocked
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.lines = append(w.lines, string(line))
 	return len(line), nil
 }
 
 func (*blockingWriter) Sync() error { return nil }
 
-func (s *blockingWriter) count(text string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (w *blockingWriter) count(text string) int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	n := 0
-	for _, line := range s.lines {
+	for _, line := range w.lines {
 		if strings.Contains(line, text) {
 			n++
 		}
