--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -28,26 +28,26 @@
 func NewLogLimiter() *LogLimiter { return &LogLimiter{states: map[string]logLimitState{}} }
 
 // Allow reports whether a line may be written now, and how many were held back since the last.
-func (s *LogLimiter) Allow(now time.Duration, key string) (suppressed int, allowed bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	state, known := s.states[key]
+func (l *LogLimiter) Allow(now time.Duration, key string) (suppressed int, allowed bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	state, known := l.states[key]
 	if known && now-state.writtenAt < LogLimitInterval {
 		state.suppressed++
-		s.states[key] = state
+		l.states[key] = state
 		return 0, false
 	}
-	s.states[key] = logLimitState{writtenAt: now}
+	l.states[key] = logLimitState{writtenAt: now}
 	return state.suppressed, true
 }
 
 // Sweep forgets keys without a line for long.
-func (s *LogLimiter) Sweep(now time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for key, state := range s.states {
+func (l *LogLimiter) Sweep(now time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for key, state := range l.states {
 		if now-state.writtenAt > logLimitStateTTL {
-			delete(s.states, key)
+			delete(l.states, key)
 		}
 	}
 }
