--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -1,5 +1,6 @@
-// Package node reads the file that tells a process its name, zone, addresses and data folder. The file is
-// checked whole before anything starts: every fault is named with its path, line and what is allowed.
+// Package node contains what every process of the system needs: its settings file, its log and its metrics endpoint.
+// The settings file is validated as a whole before the process starts; all problems are reported together, each with
+// its line, its path and the allowed values.
 package node
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Problem is one thing that is wrong with a file.
+// Problem is one error in a settings file.
 type Problem struct {
 	Line    int
 	Path    string
@@ -24,16 +25,16 @@
 // String returns "line N: path: message".
 func (p Problem) String() string { return fmt.Sprintf("line %d: %s: %s", p.Line, p.Path, p.Message) }
 
-// decoder fills typed structs from YAML and collects every fault.
+// decoder decodes YAML into typed structs and collects all problems instead of stopping at the first.
 type decoder struct {
 	problems []Problem
-	lines    map[string]int
+	lines    map[string]int // line number by path
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// Decode fills target, a pointer to a struct with yaml tags, and returns all faults. Keys that the struct
-// does not have are faults. The second result maps each path to its line, for later checks.
+// Decode decodes YAML into target, a pointer to a struct with yaml tags, and returns all problems, among them keys that
+// the struct does not have. The second result maps each path to its line number, for later checks.
 func Decode(data []byte, target any) ([]Problem, map[string]int) {
 	d := &decoder{lines: map[string]int{}}
 	file, err := parser.ParseBytes(data, 0)
@@ -88,6 +89,7 @@
 	}
 }
 
+// mappingEntries returns the entries of a mapping. The parser represents a mapping of one entry by the entry itself.
 func (d *decoder) mappingEntries(node ast.Node, path string) []*ast.MappingValueNode {
 	switch typed := node.(type) {
 	case *ast.MappingNode:
@@ -95,7 +97,7 @@
 	case *ast.MappingValueNode:
 		return []*ast.MappingValueNode{typed}
 	}
-	d.addProblem(node, path, "a mapping of keys to values is expected here")
+	d.addProblem(node, path, "expected a mapping of keys to values")
 	return nil
 }
 
@@ -138,7 +140,7 @@
 func (d *decoder) decodeSlice(node ast.Node, target reflect.Value, path string) {
 	list, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.addProblem(node, path, "a list is expected here")
+		d.addProblem(node, path, "expected a list")
 		return
 	}
 	for i, item := range list.Values {
