--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// logBufferLines is how many lines may wait until the reader of the log takes them.
+	// logBufferLines is the number of lines buffered for the output.
 	logBufferLines = 2048
-	// logBufferReserve is the part of the ring that is kept for lines other than routine ones.
+	// logBufferReserve is the part of the buffer that routine lines may not use.
 	logBufferReserve = 512
-	// logFlushTimeout is how long the end of a process waits for the lines that are left.
+	// logFlushTimeout bounds how long Sync waits for buffered lines to be written.
 	logFlushTimeout = 200 * time.Millisecond
-	// droppedReportInterval is how often the log tells how many lines were dropped since, if any were.
+	// droppedReportInterval is the interval between log lines that report newly dropped lines.
 	droppedReportInterval = 5 * time.Second
 )
 
-// Log is a process's log of JSON lines. Writing to it never waits for whoever reads it: lines that the reader does not
-// take in time are dropped, routine ones first, and counted.
+// Log is a process's log of JSON lines. Logging never blocks on the output: lines that don't fit in the buffer are
+// dropped, routine ones first, and counted.
 type Log struct {
 	*zap.Logger
 	writer *asyncWriter
 }
 
-// NewLogger returns a log on standard error.
+// NewLogger returns a log that writes to standard error.
 func NewLogger(level, name string) (*Log, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -39,10 +39,10 @@
 	return newLog(parsed, name, newAsyncWriter(zapcore.Lock(os.Stderr))), nil
 }
 
-// NopLog returns a log that keeps nothing.
+// NopLog returns a log that discards all lines.
 func NopLog() *Log { return &Log{Logger: zap.NewNop(), writer: &asyncWriter{}} }
 
-// Dropped returns how many lines were dropped since the start.
+// Dropped returns the number of lines dropped so far.
 func (l *Log) Dropped() uint64 { return l.writer.dropped.Load() }
 
 func newLog(level zapcore.Level, name string, writer *asyncWriter) *Log {
@@ -55,18 +55,18 @@
 	return log
 }
 
-// priorityCore drops routine lines while the ring is short of room.
+// priorityCore drops routine lines once only the reserve of the buffer is free.
 type priorityCore struct {
 	zapcore.Core
 	writer *asyncWriter
 }
 
-// With returns a core whose lines carry the fields.
+// With returns a core that adds the fields to every line.
 func (c priorityCore) With(fields []zapcore.Field) zapcore.Core {
 	return priorityCore{c.Core.With(fields), c.writer}
 }
 
-// Check adds the core to the entries that are written.
+// Check adds the core to entries whose level is enabled, so that they are written by its Write.
 func (c priorityCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(entry.Level) {
 		return checked.AddCore(entry, c)
@@ -74,7 +74,7 @@
 	return checked
 }
 
-// Write passes a line to the ring, or drops it.
+// Write queues a line, or drops a routine one that would use the reserve.
 func (c priorityCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
 	if events.IsRoutine(entry.Message) && len(c.writer.lines) >= logBufferLines-logBufferReserve {
 		c.writer.dropped.Add(1)
@@ -86,15 +86,15 @@
 // asyncWriter takes log lines without ever waiting; a thread of its own writes them.
 type asyncWriter struct {
 	out     zapcore.WriteSyncer
-	lines   chan []byte   // closed never
-	dropped atomic.Uint64 // only rises
+	lines   chan []byte   // never closed
+	dropped atomic.Uint64 // total since the start
 }
 
 func newAsyncWriter(out zapcore.WriteSyncer) *asyncWriter {
 	return &asyncWriter{out: out, lines: make(chan []byte, logBufferLines)}
 }
 
-// run is the thread that writes, and tells how many lines were dropped.
+// run writes queued lines and reports newly dropped ones. It never returns.
 func (w *asyncWriter) run(reportDropped func(count uint64)) {
 	w.runWithInterval(droppedReportInterval, reportDropped)
 }
@@ -106,7 +106,7 @@
 	for {
 		select {
 		case line := <-w.lines:
-			_, _ = w.out.Write(line) // a reader that is gone cannot be told
+			_, _ = w.out.Write(line) // there is nowhere to report a failed write
 		case <-ticker.C:
 			if count := w.dropped.Load(); count > reported {
 				reportDropped(count - reported)
@@ -116,7 +116,7 @@
 	}
 }
 
-// Write takes a line, or drops it when the ring is full.
+// Write queues a copy of the line, or drops the line when the buffer is full.
 func (w *asyncWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -126,7 +126,7 @@
 	return len(line), nil
 }
 
-// Sync waits a little for the lines that are left.
+// Sync waits until the buffer is empty, at most for logFlushTimeout.
 func (w *asyncWriter) Sync() error {
 	for deadline := time.Now().Add(logFlushTimeout); len(w.lines) > 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
