--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -11,9 +11,9 @@
 	"kitetiller/internal/events"
 )
 
-// blockingWriter takes lines only while it is free.
+// blockingWriter blocks all writes until unblocked is closed, and records the lines.
 type blockingWriter struct {
-	unblocked chan struct{} // closed once it takes lines
+	unblocked chan struct{}
 	mu        sync.Mutex
 	lines     []string // guarded by mu
 }
@@ -40,7 +40,7 @@
 	return n
 }
 
-// TestLoggingDoesNotBlockOnStalledOutput: whoever logs goes on although nobody reads, and what is dropped is counted.
+// TestLoggingDoesNotBlockOnStalledOutput: logging continues while the output is blocked, and dropped lines are counted.
 func TestLoggingDoesNotBlockOnStalledOutput(t *testing.T) {
 	output := &blockingWriter{unblocked: make(chan struct{})}
 	defer close(output.unblocked)
@@ -50,12 +50,12 @@
 		log.Info("line")
 	}
 	if dropped := log.Dropped(); dropped < written-logBufferLines-1 || dropped >= written {
-		t.Fatalf("%d of %d lines dropped", dropped, written)
+		t.Fatalf("%d of %d lines were dropped, want all but those that the buffer holds", dropped, written)
 	}
 }
 
-// TestRoutineLinesAreDroppedBeforeOthers: while nobody reads, successes leave room for what else happens; once somebody reads
-// again, all of that comes, and a line tells how many are missing.
+// TestRoutineLinesAreDroppedBeforeOthers: while the output is blocked, routine lines leave the reserve to other lines, which
+// are all written once the output is unblocked; the number of dropped lines is reported.
 func TestRoutineLinesAreDroppedBeforeOthers(t *testing.T) {
 	output := &blockingWriter{unblocked: make(chan struct{})}
 	writer := newAsyncWriter(output)
@@ -69,7 +69,7 @@
 	}
 	dropped := log.Dropped()
 	if dropped < 4*logBufferLines || len(writer.lines) > logBufferLines {
-		t.Fatalf("%d lines dropped, %d wait", dropped, len(writer.lines))
+		t.Fatalf("%d lines dropped and %d buffered, want most dropped and the buffer within its bound", dropped, len(writer.lines))
 	}
 	close(output.unblocked)
 	for range 1000 {
@@ -79,13 +79,13 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if got := output.count(events.InstanceGone); got != otherLines {
-		t.Fatalf("%d of %d changes of belief were written", got, otherLines)
+		t.Fatalf("%d of %d lines that aren't routine were written", got, otherLines)
 	}
 	reports := make(chan uint64, 1)
 	secondWriter := newAsyncWriter(output)
 	secondWriter.dropped.Store(dropped)
 	go secondWriter.runWithInterval(time.Millisecond, func(count uint64) { reports <- count })
 	if reported := <-reports; reported != dropped {
-		t.Fatalf("told of %d dropped lines, wanted %d", reported, dropped)
+		t.Fatalf("%d dropped lines reported, want %d", reported, dropped)
 	}
 }
