--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -12,7 +12,7 @@
 
 const metricsHeaderTimeout = 5 * time.Second
 
-// ServeMetrics serves a registry as text at a path of an address, and returns what stops it.
+// ServeMetrics serves the metrics of a registry by HTTP at the given address and path until stop is called.
 func ServeMetrics(address, path string, registry *prometheus.Registry) (stop func(), err error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
