--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// StopSignal returns a context that ends at SIGINT or SIGTERM.
+// StopSignal returns a context that is canceled on SIGINT or SIGTERM.
 func StopSignal() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
