--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// LogLimitInterval is the least time between two lines of one key: a rollout may cause one for each request.
+	// LogLimitInterval is the minimum time between two lines of one key; some events would otherwise log a line for
+	// every request.
 	LogLimitInterval = time.Second
-	// logLimitStateTTL is how long a key is kept after its newest line, for the count of the lines that were held back since.
+	// logLimitStateTTL is how long a key's state, with its count of suppressed lines, is kept after its last line.
 	logLimitStateTTL = time.Minute
 )
 
-// LogLimiter bounds how often lines of one key are written, and counts those held back. It is safe for concurrent use.
+// LogLimiter limits the rate of log lines by key and counts suppressed lines. It is safe for concurrent use.
 type LogLimiter struct {
 	mu     sync.Mutex
 	states map[string]logLimitState // guarded by mu
 }
 
-// logLimitState is what is known of the lines of one key.
+// logLimitState is the state of one key.
 type logLimitState struct {
-	writtenAt  time.Duration // when one was last written
-	suppressed int           // held back since
+	writtenAt  time.Duration // when a line was last allowed
+	suppressed int           // lines suppressed since then
 }
 
-// NewLogLimiter returns one that has written no line yet.
+// NewLogLimiter returns a limiter without any keys.
 func NewLogLimiter() *LogLimiter { return &LogLimiter{states: map[string]logLimitState{}} }
 
-// Allow reports whether a line may be written now, and how many were held back since the last.
+// Allow reports whether a line with the key may be written now and, if so, how many were suppressed since the last one.
 func (l *LogLimiter) Allow(now time.Duration, key string) (suppressed int, allowed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +42,7 @@
 	return state.suppressed, true
 }
 
-// Sweep forgets keys without a line for long.
+// Sweep removes keys whose last line is older than logLimitStateTTL.
 func (l *LogLimiter) Sweep(now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
