--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -83,7 +83,7 @@
 	return c.Core.Write(entry, fields)
 }
 
-// asyncWriter takes log lines without ever waiting; a thread of its own writes them.
+// asyncWriter queues log lines without blocking; its run method writes them to the output.
 type asyncWriter struct {
 	out     zapcore.WriteSyncer
 	lines   chan []byte   // never closed
