--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -13,7 +13,7 @@
 
 // blockingWriter blocks all writes until unblocked is closed, and records the lines.
 type blockingWriter struct {
-	unblocked chan struct{}
+	unblocked chan struct{} // closed to let writes proceed
 	mu        sync.Mutex
 	lines     []string // guarded by mu
 }
