--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,64 +19,64 @@
 
 // File is a process's settings file.
 type File struct {
-	Name         string   `yaml:"name"`          // name of the process, unique in the fleet
-	Zone         string   `yaml:"zone"`          // zone it runs in
-	DataDir      string   `yaml:"data"`          // folder for everything it keeps
+	Name         string   `yaml:"name"`          // name of the process, unique in the deployment
+	Zone         string   `yaml:"zone"`          // zone that the process runs in
+	DataDir      string   `yaml:"data"`          // directory of persistent data
 	LogLevel     string   `yaml:"log_level"`     // debug, info, warn or error; default info
-	ClusterToken string   `yaml:"cluster_token"` // shared secret of the system's own processes
+	ClusterToken string   `yaml:"cluster_token"` // shared secret of routers and control replicas
 	AdminToken   string   `yaml:"admin_token"`   // bearer token of operators
-	LinkFile     string   `yaml:"links"`         // file that describes cut zones; tests only
+	LinkFile     string   `yaml:"links"`         // file that describes partitioned zones; tests only
 	Router       *Router  `yaml:"router"`
 	Control      *Control `yaml:"control"`
 }
 
-// Router is the part of the file that a router reads.
+// Router is the section of a router.
 type Router struct {
-	Listen                string                   `yaml:"listen"`              // address for callers
+	Listen                string                   `yaml:"listen"`              // address to listen on for callers
 	PeerAddress           string                   `yaml:"internal"`            // address for other routers, or empty
 	Control               []string                 `yaml:"control"`             // internal addresses of the control replicas
 	Platform              string                   `yaml:"platform"`            // address of the platform's machine list
 	Vault                 string                   `yaml:"vault"`               // address of the KV store, or empty
-	PrefixKey             string                   `yaml:"prefix_key"`          // secret for block hashes, 64 hex digits, the same everywhere
-	BlockTokens           int                      `yaml:"block_tokens"`        // tokens of a block, the same everywhere; default 64
-	IndexBlocks           int                      `yaml:"index_blocks"`        // beliefs kept; default 2,000,000
-	ImportTokensPerSecond float64                  `yaml:"import_tokens_per_s"` // speed of copies between engines; 0 turns them off
-	ZoneLatency           map[string]time.Duration `yaml:"zone_latency"`        // one way, to each other zone
-	PollInterval          time.Duration            `yaml:"poll_every"`          // period of back end polls; default 100ms
-	HeartbeatInterval     time.Duration            `yaml:"heartbeat_every"`     // period of heartbeats to control; default 500ms
-	DrainTimeout          time.Duration            `yaml:"drain_limit"`         // longest planned stop; default 120s
-	MaxConnections        int                      `yaml:"max_connections"`     // callers' requests at once; default 10,000
+	PrefixKey             string                   `yaml:"prefix_key"`          // secret key of block hashes, 64 hex digits, the same on all routers
+	BlockTokens           int                      `yaml:"block_tokens"`        // tokens of a block, the same on all routers; default 64
+	IndexBlocks           int                      `yaml:"index_blocks"`        // capacity of the prefix index, in blocks; default 2,000,000
+	ImportTokensPerSecond float64                  `yaml:"import_tokens_per_s"` // transfer rate of cached tokens between engines; 0 disables transfers
+	ZoneLatency           map[string]time.Duration `yaml:"zone_latency"`        // one-way latency to each other zone
+	PollInterval          time.Duration            `yaml:"poll_every"`          // interval of back end state polls; default 100ms
+	HeartbeatInterval     time.Duration            `yaml:"heartbeat_every"`     // interval of heartbeats to control; default 500ms
+	DrainTimeout          time.Duration            `yaml:"drain_limit"`         // how long a planned stop waits for running requests; default 120s
+	MaxConnections        int                      `yaml:"max_connections"`     // maximum concurrent requests of callers; default 10,000
 }
 
-// Control is the part of the file that a control replica reads.
+// Control is the section of a control replica.
 type Control struct {
-	InternalAddress    string        `yaml:"internal"`       // address for replicas and routers
-	InternalListen     string        `yaml:"bind"`           // address to listen on for them, where it is another one; default internal
-	Admin              string        `yaml:"admin"`          // address for operators
-	Founders           []string      `yaml:"founders"`       // internal addresses of the first replicas; the first one founds the group
-	Replicas           int           `yaml:"replicas"`       // voters wanted; default 3
+	InternalAddress    string        `yaml:"internal"`       // address that replicas and routers connect to
+	InternalListen     string        `yaml:"bind"`           // address to listen on for them, if it differs; default internal
+	Admin              string        `yaml:"admin"`          // address to listen on for operators
+	Founders           []string      `yaml:"founders"`       // internal addresses of the initial replicas; the first one bootstraps the group
+	Replicas           int           `yaml:"replicas"`       // target number of voters; default 3
 	Platform           string        `yaml:"platform"`       // address of the platform's machine list
-	Heartbeat          time.Duration `yaml:"heartbeat"`      // leader's period; default 100ms
-	SettingsLease      time.Duration `yaml:"settings_lease"` // how long a router may serve unheard; default 3s
+	Heartbeat          time.Duration `yaml:"heartbeat"`      // interval of the leader's heartbeats; default 100ms
+	SettingsLease      time.Duration `yaml:"settings_lease"` // how long a router may serve without contact to control; default 3s
 	RepairAfter        time.Duration `yaml:"repair_after"`   // silence after which a spare replaces a replica; default 10s
-	SnapshotEvery      uint64        `yaml:"snapshot_every"` // entries between snapshots; default 5,000
-	JoinOnly           bool          `yaml:"join_only"`      // never found a group, only join one; default false
-	WeightsOrderDelay  time.Duration `yaml:"order_wait"`     // how long a new leader waits before its first order for weights; default 3s
-	GatewayViewTTL     time.Duration `yaml:"gateway_trust"`  // how long a gateway may use a view that is not confirmed; default 3s
-	DisabledMechanisms string        `yaml:"without"`        // mechanisms of the decision that are off, with commas; default none
-	Quota              Quota         `yaml:"quota"`          // how limits over a gateway fleet are judged
+	SnapshotEvery      uint64        `yaml:"snapshot_every"` // log entries between snapshots; default 5,000
+	JoinOnly           bool          `yaml:"join_only"`      // never bootstrap a group, only join one; default false
+	WeightsOrderDelay  time.Duration `yaml:"order_wait"`     // how long a new leader waits before its first weights order; default 3s
+	GatewayViewTTL     time.Duration `yaml:"gateway_trust"`  // how long a gateway may use an unconfirmed view; default 3s
+	DisabledMechanisms string        `yaml:"without"`        // disabled routing mechanisms, separated by commas; default none
+	Quota              Quota         `yaml:"quota"`          // accounting of limits that all gateways share
 }
 
-// Quota says how limits over a gateway fleet are judged; gateways have the same settings.
+// Quota sets how limits that all gateways share are accounted; gateways have the same settings.
 type Quota struct {
-	Window      time.Duration `yaml:"window"`       // that a tenant's use is added up in; default 8s
-	Overage     float64       `yaml:"overage"`      // share by which use in a window may exceed a tenant's limit; default 0.1
-	Slack       float64       `yaml:"slack"`        // units by which it may besides; default 0
-	RetryWindow time.Duration `yaml:"retry_window"` // that repeats are added up in; default 10s
-	RetrySlack  float64       `yaml:"retry_slack"`  // repeats of a service in it beyond a share of its requests; default 0
+	Window      time.Duration `yaml:"window"`       // window over which a tenant's usage is summed; default 8s
+	Overage     float64       `yaml:"overage"`      // fraction by which usage in a window may exceed a tenant's limit; default 0.1
+	Slack       float64       `yaml:"slack"`        // units by which it may exceed the limit in addition; default 0
+	RetryWindow time.Duration `yaml:"retry_window"` // window over which retries are summed; default 10s
+	RetrySlack  float64       `yaml:"retry_slack"`  // retries of a service allowed in a window beyond a fraction of its requests; default 0
 }
 
-// Policy returns the settings as the fleet uses them.
+// Policy returns the quota policy, with defaults for values that are not set.
 func (q Quota) Policy() quota.Policy { return quota.Policy(q).WithDefaults() }
 
 // Limits and defaults of node files.
@@ -98,7 +98,7 @@
 	defaultGatewayViewTTL    = 3 * time.Second
 )
 
-// Load reads and checks a file. All faults come back in one error.
+// Load reads and validates a file. The error lists all problems.
 func Load(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -106,12 +106,12 @@
 	}
 	file, problems := Parse(data)
 	if len(problems) > 0 {
-		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(problems), FormatProblems(problems))
+		return nil, eris.Errorf("settings file %s has %d problems:\n%s", path, len(problems), FormatProblems(problems))
 	}
 	return file, nil
 }
 
-// FormatProblems returns one line for each fault.
+// FormatProblems returns one indented line for each problem.
 func FormatProblems(problems []Problem) string {
 	lines := make([]string, len(problems))
 	for i, problem := range problems {
@@ -120,7 +120,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse decodes, fills defaults, and checks a file.
+// Parse decodes a file, applies defaults and validates the result. Problems are in the order of their lines.
 func Parse(data []byte) (*File, []Problem) {
 	file := &File{}
 	problems, lines := Decode(data, file)
@@ -160,7 +160,7 @@
 	}
 }
 
-// checker collects faults of decoded values.
+// checker validates decoded values and collects problems.
 type checker struct {
 	lines    map[string]int
 	problems []Problem
@@ -184,7 +184,7 @@
 func (c *checker) checkAddress(path, value string, required bool) {
 	if value == "" {
 		if required {
-			c.addProblem(path, "is missing; write IP:PORT")
+			c.addProblem(path, "is missing; use IP:PORT")
 		}
 		return
 	}
@@ -211,7 +211,7 @@
 		c.checkControl(f.Control)
 	}
 	if f.Router == nil && f.Control == nil {
-		c.addProblem("file", "needs a section router or control")
+		c.addProblem("file", "needs a router section or a control section")
 	}
 }
 
@@ -258,14 +258,14 @@
 		c.addProblem("control.replicas", fmt.Sprintf("%d is out of range; allowed is 1 to 7", r.Replicas))
 	}
 	if q := r.Quota; q.Window < 0 || q.Overage < 0 || q.Slack < 0 || q.RetryWindow < 0 || q.RetrySlack < 0 {
-		c.addProblem("control.quota", "must not hold anything below 0")
+		c.addProblem("control.quota", "must not contain negative values")
 	}
 	if r.SettingsLease < 4*r.Heartbeat {
-		c.addProblem("control.settings_lease", "must be at least four heartbeats")
+		c.addProblem("control.settings_lease", "must be at least four times control.heartbeat")
 	}
 }
 
-// HashKey returns the decoded prefix key.
+// HashKey decodes PrefixKey.
 func (r *Router) HashKey() ([prefix.KeyBytes]byte, error) {
 	var key [prefix.KeyBytes]byte
 	decoded, err := hex.DecodeString(r.PrefixKey)
