--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -166,6 +166,7 @@
 	problems []Problem
 }
 
+// addProblem records a problem at the line of the path or of its closest parent that the file contains.
 func (c *checker) addProblem(path, message string) {
 	line := c.lines[path]
 	for parent := path; line == 0 && strings.Contains(parent, "."); line = c.lines[parent] {
@@ -180,7 +181,7 @@
 	}
 }
 
-// checkAddress checks an IP number and port.
+// checkAddress checks that a value is an IP address and a port; host names are not allowed.
 func (c *checker) checkAddress(path, value string, required bool) {
 	if value == "" {
 		if required {
@@ -191,7 +192,7 @@
 	host, port, err := net.SplitHostPort(value)
 	portNumber, portErr := strconv.Atoi(port)
 	if err != nil || net.ParseIP(host) == nil || portErr != nil || portNumber < 0 || portNumber > 65535 {
-		c.addProblem(path, fmt.Sprintf("%q is not an address; write IP:PORT with an IP number", value))
+		c.addProblem(path, fmt.Sprintf("%q is not a valid address; use IP:PORT with a numeric IP address", value))
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -22,34 +22,34 @@
 func TestParseAppliesDefaults(t *testing.T) {
 	file, problems := Parse([]byte(validRouterFile))
 	if len(problems) > 0 {
-		t.Fatalf("faults: %s", FormatProblems(problems))
+		t.Fatalf("problems in a valid file:\n%s", FormatProblems(problems))
 	}
 	if file.Router.BlockTokens != defaultBlockTokens || file.Router.PollInterval != defaultPollInterval || file.LogLevel != "info" {
-		t.Fatalf("file %+v %+v", file, file.Router)
+		t.Fatalf("defaults are missing in %+v, router section %+v", file, file.Router)
 	}
 }
 
-// TestParseReportsEveryProblemWithItsLine: all faults come at once, each with line, path and what is allowed.
+// TestParseReportsEveryProblemWithItsLine: one call reports all problems, each with line, path and allowed values.
 func TestParseReportsEveryProblemWithItsLine(t *testing.T) {
 	invalidFile := strings.NewReplacer("listen: 127.0.0.1:8080", "listen: localhost:80", "platform: 127.0.0.1:9100", "plattform: 127.0.0.1:9100",
 		"prefix_key: 0001", "poll_every: soon\n  prefix_key: zz01").Replace(validRouterFile) + "colour: blue\n"
 	_, problems := Parse([]byte(invalidFile))
 	text := FormatProblems(problems)
-	for _, want := range []string{"line 7: router.listen", "IP number", "line 9: router.plattform", "router.platform", "line 10: router.poll_every",
+	for _, want := range []string{"line 7: router.listen", "numeric IP address", "line 9: router.plattform", "router.platform", "line 10: router.poll_every",
 		"line 11: router.prefix_key", "line 12: colour"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is not named in:\n%s", want, text)
+			t.Errorf("%q is missing in:\n%s", want, text)
 		}
 	}
 }
 
 func TestParseRejectsFileWithoutSection(t *testing.T) {
 	if _, problems := Parse([]byte("name: a\nzone: b\ndata: c\n")); len(problems) != 1 {
-		t.Fatalf("faults %v", problems)
+		t.Fatalf("got problems %v, want exactly one", problems)
 	}
 }
 
-// FuzzParse: no bytes may crash the decoder.
+// FuzzParse: no input may make the decoder panic.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validRouterFile))
 	f.Add([]byte("router: [1, 2]\n"))
@@ -57,12 +57,12 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		file, problems := Parse(data)
 		if len(problems) == 0 && file.Router == nil && file.Control == nil {
-			t.Fatal("a file without a section was accepted")
+			t.Fatal("a file with neither a router nor a control section was accepted")
 		}
 	})
 }
 
-// keysOf lists the keys of a node file's type.
+// keysOf returns the dotted keys of a settings struct.
 func keysOf(t reflect.Type, prefix string) []string {
 	var keys []string
 	for i := range t.NumField() {
