--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -90,8 +90,8 @@
 	for _, reply := range status.Control {
 		if reply.LeaseHeld && len(reply.Named) > 0 {
 			fmt.Fprintln(w, "LIMIT NAMED BY\tA SECOND\tLEFT\tLENT\tREFUSED")
-			for _, limit := range reply.Named {
-				fmt.Fprintf(w, "%s\t%.2f\t%.1f\t%.0f\t%.0f\n", limit.Name, limit.Limit.Rate, limit.Level, limit.Granted, limit.Refused)
+			for _, state := range reply.Named {
+				fmt.Fprintf(w, "%s\t%.2f\t%.1f\t%.0f\t%.0f\n", state.Name, state.Limit.Rate, state.Level, state.Granted, state.Refused)
 			}
 		}
 		if !reply.LeaseHeld || len(reply.Limits) == 0 {
