--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -98,9 +98,9 @@
 			continue
 		}
 		fmt.Fprintln(w, "LIMIT\tRATE\tBURST\tLEFT\tLENT\tREFUSED\tOVER\tKEPT BACK")
-		for _, limit := range reply.Limits {
-			fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%t\t%.2f\n", limit.Name, limit.Limit.Rate, limit.Limit.Burst, limit.Level, limit.Granted, limit.Refused,
-				limit.OverLimit, limit.Withheld)
+		for _, state := range reply.Limits {
+			fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%t\t%.2f\n", state.Name, state.Limit.Rate, state.Limit.Burst, state.Level, state.Granted, state.Refused,
+				state.OverLimit, state.Withheld)
 		}
 	}
 }
