--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -23,8 +23,8 @@
 func newFakeServer(t *testing.T) *httptest.Server {
 	t.Helper()
 	tree := settings.NewTree()
-	edit := settings.Edit{Path: "/z1/llm", Setting: "queue_limit", Value: json.RawMessage("64")}
-	tree, problems := tree.Apply([]settings.Edit{edit, {Path: "/", Setting: "time_weight", Value: json.RawMessage("0.2")}})
+	queueLimitEdit := settings.Edit{Path: "/z1/llm", Setting: "queue_limit", Value: json.RawMessage("64")}
+	tree, problems := tree.Apply([]settings.Edit{queueLimitEdit, {Path: "/", Setting: "time_weight", Value: json.RawMessage("0.2")}})
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
@@ -48,7 +48,7 @@
 		case request.Status != nil:
 			response.Status = &status
 		case request.Read != nil:
-			response.Read = &control.ReadReply{Version: 7, InForce: 6, Tree: tree, History: []settings.HistoryEntry{{Version: 7, OperationID: "op", Author: "lea", Edits: []settings.Edit{edit}}}}
+			response.Read = &control.ReadReply{Version: 7, InForce: 6, Tree: tree, History: []settings.HistoryEntry{{Version: 7, OperationID: "op", Author: "lea", Edits: []settings.Edit{queueLimitEdit}}}}
 		case request.Catalog != nil:
 			if released := request.Catalog.Quarantine.Releases; len(released) != 1 || released[0].Reason != quarantine.ReasonOperator || len(released[0].Requests) != 2 {
 				t.Errorf("released %+v", released)
