--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -1,4 +1,4 @@
-// Package operator carries out the operators' commands of the kitetiller program against a running system.
+// Package operator implements the operator commands of the kitetiller program, which inspect and change a running system.
 package operator
 
 import (
@@ -23,10 +23,10 @@
 	outputTable    = "table"
 )
 
-// Options are what every command needs.
+// Options are common to all commands.
 type Options struct {
-	Control    string // admin addresses of control replicas, with commas
-	Routers    string // addresses of routers, with commas
+	Control    string // admin addresses of control replicas, separated by commas
+	Routers    string // addresses of routers, separated by commas
 	AdminToken string
 	Output     string
 	Out        io.Writer
@@ -38,10 +38,10 @@
 	client  *transport.Client
 }
 
-// New checks the options.
+// New validates the options and returns a command that uses them.
 func New(options Options) (*Command, error) {
 	if options.Output != outputJSON && options.Output != outputTable {
-		return nil, eris.Errorf("--output %s is not known; use %s or %s", options.Output, outputTable, outputJSON)
+		return nil, eris.Errorf("unknown --output %s; use %s or %s", options.Output, outputTable, outputJSON)
 	}
 	if options.AdminToken == "" {
 		return nil, eris.New("no admin token; give --admin-token or set KITETILLER_ADMIN_TOKEN")
@@ -49,11 +49,12 @@
 	return &Command{options: options, client: transport.NewClient(options.AdminToken, nil)}, nil
 }
 
+// splitList splits a list at commas and spaces.
 func splitList(list string) []string {
 	return strings.FieldsFunc(list, func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-// send sends a request to the control replicas in turn until one has answered it.
+// send sends a request to the control replicas in turn until one answers with ResponseOK or the command times out.
 func (c *Command) send(request control.Request) (control.Response, error) {
 	addresses := splitList(c.options.Control)
 	if len(addresses) == 0 {
@@ -69,12 +70,12 @@
 				return response, nil
 			}
 			if lastErr = err; err == nil {
-				lastErr = eris.Errorf("%s answered %s", address, response.Kind)
+				lastErr = eris.Errorf("%s responded with %s", address, response.Kind)
 			}
 		}
 		time.Sleep(retryInterval)
 	}
-	return control.Response{}, eris.Wrap(lastErr, "no control replica could decide; the change may or may not have been made, run the command again with the same --operation-id")
+	return control.Response{}, eris.Wrap(lastErr, "no control replica completed the request; a change may or may not have been applied, run the command again with the same --operation-id")
 }
 
 func (c *Command) sendTo(ctx context.Context, address string, request control.Request) (control.Response, error) {
@@ -83,7 +84,7 @@
 	return response, err
 }
 
-// emit prints a value as JSON, or calls table.
+// emit prints a value as JSON, or as a table written by writeTable.
 func (c *Command) emit(value any, writeTable func(w *tabwriter.Writer)) error {
 	if c.options.Output == outputJSON {
 		encoder := json.NewEncoder(c.options.Out)
