--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -17,18 +17,18 @@
 	"kitetiller/internal/settings"
 )
 
-// ChangeOptions belong to the commands that change the tree.
+// ChangeOptions are common to the commands that change the settings tree.
 type ChangeOptions struct {
-	Base        int64  // version the change is based on; -1 takes the current one
-	OperationID string // empty draws one
+	Base        int64  // version that the change is based on; -1 for the current one
+	OperationID string // idempotency key of the change; a random one if empty
 	Author      string
-	Wait        bool // until the change is in force everywhere
+	Wait        bool // wait until the change is in force everywhere
 }
 
-// inForceTimeout is how long --wait waits.
+// inForceTimeout bounds how long --wait waits.
 const inForceTimeout = 30 * time.Second
 
-// Get prints the settings of one node, or the effective ones and where they come from.
+// Get prints the settings that are set at a path and below it, or the effective settings of the path with their origins.
 func (c *Command) Get(path string, effective bool) error {
 	read, err := c.readSettings(false)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return response.Read, nil
 }
 
-// Set sets one setting; an empty value inherits it again.
+// Set sets one setting; an empty value removes it, so that it is inherited again.
 func (c *Command) Set(path, name, value string, options ChangeOptions) error {
 	raw := json.RawMessage("null")
 	if value != "" {
@@ -89,16 +89,16 @@
 	return c.change([]settings.Edit{{Path: settings.Path(path), Setting: name, Value: raw}}, options)
 }
 
-// jsonValue takes a value as JSON if it is, otherwise as a string.
+// jsonValue returns text itself if it is valid JSON, otherwise text as a JSON string.
 func jsonValue(text string) json.RawMessage {
 	if json.Valid([]byte(text)) {
 		return json.RawMessage(text)
 	}
-	quoted, _ := json.Marshal(text) // a string always can
+	quoted, _ := json.Marshal(text) // cannot fail for a string
 	return quoted
 }
 
-// desiredAndCurrent reads a file's tree and the current one.
+// desiredAndCurrent reads the tree of a file and the current tree.
 func (c *Command) desiredAndCurrent(path string) (settings.Tree, *control.ReadReply, error) {
 	desired, err := ReadTree(path)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return desired, read, err
 }
 
-// Edit makes the tree equal to a file, in one atomic change.
+// Edit makes the tree equal to that of a file, in one atomic change.
 func (c *Command) Edit(path string, options ChangeOptions) error {
 	desired, read, err := c.desiredAndCurrent(path)
 	if err != nil {
@@ -149,7 +149,7 @@
 	return text
 }
 
-// change sends one change and reports its outcome.
+// change submits one change and prints its outcome.
 func (c *Command) change(edits []settings.Edit, options ChangeOptions) error {
 	change, err := c.newChange(edits, options)
 	if err != nil {
@@ -173,7 +173,7 @@
 		_ = writer.Flush()
 		return eris.Errorf("conflict: the change was based on version %d, the tree is at %d; look at what changed and try again", change.Base, outcome.Version)
 	case settings.OutcomeOperationIDReused:
-		return eris.Errorf("operation id %s was used for another change", change.OperationID)
+		return eris.Errorf("operation ID %s was already used for another change", change.OperationID)
 	}
 	for _, problem := range outcome.Problems {
 		c.printf("%s\n", problem)
@@ -181,6 +181,7 @@
 	return eris.Errorf("invalid: %d problems, nothing was changed", len(outcome.Problems))
 }
 
+// newChange fills in the base version and the operation ID if the options leave them open.
 func (c *Command) newChange(edits []settings.Edit, options ChangeOptions) (*settings.Change, error) {
 	if options.Base < 0 {
 		read, err := c.readSettings(false)
@@ -210,7 +211,7 @@
 	return eris.Errorf("version %d is accepted but not yet in force everywhere after %s; see kitetiller status", version, inForceTimeout)
 }
 
-// History prints the newest accepted changes.
+// History prints the most recent accepted changes.
 func (c *Command) History() error {
 	read, err := c.readSettings(true)
 	if err != nil {
@@ -225,7 +226,7 @@
 	})
 }
 
-// maxShownEdits is how many edits of a change the history shows.
+// maxShownEdits is the number of edits that History prints of each change.
 const maxShownEdits = 3
 
 func summarizeEdits(edits []settings.Edit) string {
@@ -240,7 +241,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// ReadTree reads and checks a settings file.
+// ReadTree reads and validates a file with a settings tree.
 func ReadTree(path string) (settings.Tree, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -252,7 +253,7 @@
 		for i, problem := range problems {
 			lines[i] = "  " + problem.String()
 		}
-		return tree, eris.Errorf("%s has %d faults:\n%s", path, len(problems), strings.Join(lines, "\n"))
+		return tree, eris.Errorf("settings file %s has %d problems:\n%s", path, len(problems), strings.Join(lines, "\n"))
 	}
 	return tree, nil
 }
