--- a/internal/operator/heldback.go
+++ b/internal/operator/heldback.go
@@ -12,7 +12,8 @@
 	"kitetiller/internal/quarantine"
 )
 
-// ListQuarantined prints the requests under which back ends ended, as the leader sees them.
+// ListQuarantined prints the requests under which back ends crashed, and whether each is quarantined, as the leader
+// sees them.
 func (c *Command) ListQuarantined() error {
 	for _, reply := range c.collectStatus().Control {
 		if !reply.LeaseHeld {
@@ -25,10 +26,10 @@
 			}
 		})
 	}
-	return eris.New("no control replica leads; see kitetiller status")
+	return eris.New("no control replica is the leader; see kitetiller status")
 }
 
-// Release lets requests be sent again; the list separates their fingerprints by commas.
+// Release releases requests from quarantine, given a list of their fingerprints.
 func (c *Command) Release(list string) error {
 	var requests []quarantine.Fingerprint
 	for _, text := range splitList(list) {
@@ -39,7 +40,7 @@
 		requests = append(requests, fingerprint)
 	}
 	if len(requests) == 0 {
-		return eris.New("no fingerprint is given; kitetiller held shows them")
+		return eris.New("no fingerprint given; kitetiller held lists them")
 	}
 	change := quarantine.Change{Releases: []quarantine.Release{{Requests: requests, Reason: quarantine.ReasonOperator}}}
 	if _, err := c.send(control.Request{Catalog: &catalog.Command{Quarantine: &change}}); err != nil {
