--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -14,17 +14,17 @@
 	"kitetiller/internal/router"
 )
 
-// probeTimeout bounds the question to one process.
+// probeTimeout bounds a request to one process.
 const probeTimeout = 2 * time.Second
 
-// SystemStatus is what "status" shows.
+// SystemStatus is the output of the status command.
 type SystemStatus struct {
 	Control     []control.StatusReply `json:"control"`
 	Routers     []router.StatusReply  `json:"routers"`
 	Unreachable []string              `json:"silent"` // addresses that did not answer
 }
 
-// Status asks every control replica and router for its view.
+// Status prints the status of every control replica and router, as each reports it.
 func (c *Command) Status() error {
 	status := c.collectStatus()
 	return c.emit(status, func(w *tabwriter.Writer) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// writeLimits shows what is limited over the fleet, as the leader sees it.
+// writeLimits prints the limits that all gateways share, advertised ones of back ends included, as the leader sees them.
 func writeLimits(w *tabwriter.Writer, status SystemStatus) {
 	for _, reply := range status.Control {
 		if reply.LeaseHeld && len(reply.Named) > 0 {
@@ -141,21 +141,21 @@
 			}
 		})
 	}
-	return eris.New("no control replica leads; see kitetiller status")
+	return eris.New("no control replica is the leader; see kitetiller status")
 }
 
-// Explain prints the kept decisions about a request, from every router.
+// Explain prints the decisions about a request that the routers still store.
 func (c *Command) Explain(requestID string) error {
 	var found []core.Decision
 	for _, address := range splitList(c.options.Routers) {
 		var decisions []core.Decision
 		if err := c.probe(address, "/admin/v1/explain?request="+url.QueryEscape(requestID), &decisions); err != nil {
-			return eris.Wrapf(err, "ask %s", address)
+			return eris.Wrapf(err, "query %s", address)
 		}
 		found = append(found, decisions...)
 	}
 	if len(found) == 0 {
-		return eris.Errorf("no router remembers request %s; each keeps its newest decisions only", requestID)
+		return eris.Errorf("no router has decisions about request %s; each stores only its most recent ones", requestID)
 	}
 	return c.emit(found, func(w *tabwriter.Writer) {
 		for _, decision := range found {
