--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// precedingWindow is how long before a request what its processes and back ends went through belongs to its story.
+	// precedingWindow is how long before the first line of a request the events of its processes and back ends are included.
 	precedingWindow = 10 * time.Second
-	// maxLineBytes bounds one log line.
+	// maxLineBytes bounds the length of a log line.
 	maxLineBytes = 1 << 20
 )
 
-// logLine is a line of a process's log.
+// logLine is a parsed line of a process's log.
 type logLine struct {
 	Time     time.Time
 	Node     string
@@ -32,20 +32,20 @@
 	fields   map[string]any
 }
 
-// processEvents tell what happened to a process as a whole.
+// processEvents are events of a process as a whole.
 var processEvents = []string{
 	events.GatewayStarted, events.GatewayStopping, events.GatewayStopped, events.ControlDisconnected, events.ControlReconnected,
 	events.LogLinesDropped,
 }
 
-// controlGroupEvents tell what happened to the control group, which concerns everybody.
+// controlGroupEvents are events of the control group, which affect all processes.
 var controlGroupEvents = []string{events.LeadershipWon, events.LeadershipLost, events.ReplicaStarted}
 
-// columnFields stand in columns of their own.
+// columnFields are the fields that format prints without their names, or not at all.
 var columnFields = []string{"level", "time", "msg", "node", events.FieldRequest, events.FieldInstance}
 
-// ExplainLogs prints the story of a request, or of a back end's life, from the logs of several processes, in order of
-// time. Files hold a JSON line each; what stands before the first brace of a line is passed over.
+// ExplainLogs prints what the logs of several processes contain about a request or an instance of a back end, in order
+// of time. Each line of a file is a JSON object; text before its first brace is ignored, and so are lines without one.
 func ExplainLogs(out io.Writer, files []string, id string) error {
 	var lines []logLine
 	for _, file := range files {
@@ -57,7 +57,7 @@
 	}
 	timeline := selectTimeline(lines, id)
 	if len(timeline) == 0 {
-		return eris.Errorf("no line of %s names %q", strings.Join(files, ", "), id)
+		return eris.Errorf("no line in %s mentions %q", strings.Join(files, ", "), id)
 	}
 	for _, line := range timeline {
 		fmt.Fprintln(out, line.format())
@@ -105,7 +105,7 @@
 	return text
 }
 
-// format returns the line as a reader wants it: time, process, event, what it concerns, and the rest by name.
+// format returns the line as text: time, process, event, request, instance, then the other fields sorted by name.
 func (l logLine) format() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s  %s  %s", l.Time.UTC().Format("15:04:05.000"), l.Node, l.Event)
@@ -122,14 +122,14 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		value, _ := json.Marshal(l.fields[name]) // it came from JSON
+		value, _ := json.Marshal(l.fields[name]) // cannot fail: the value was decoded from JSON
 		fmt.Fprintf(&out, "  %s=%s", name, value)
 	}
 	return out.String()
 }
 
-// selectTimeline selects what belongs to a request: its own lines, and what its back ends and its processes went through from
-// shortly before. An instance's story is all that names it.
+// selectTimeline returns the lines with the ID of a request or instance, sorted by time, together with the events of the
+// control group, the instances and the processes involved, from precedingWindow before the first of these lines to the last.
 func selectTimeline(lines []logLine, id string) []logLine {
 	var matching []logLine
 	for _, line := range lines {
