--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// precedingWindow is how long before the first line of a request the events of its processes and back ends are included.
+	// precedingWindow is how far before the first line about a request events of the processes and back ends involved
+	// are included.
 	precedingWindow = 10 * time.Second
 	// maxLineBytes bounds the length of a log line.
 	maxLineBytes = 1 << 20
@@ -45,7 +46,7 @@
 var columnFields = []string{"level", "time", "msg", "node", events.FieldRequest, events.FieldInstance}
 
 // ExplainLogs prints what the logs of several processes contain about a request or an instance of a back end, in order
-// of time. Each line of a file is a JSON object; text before its first brace is ignored, and so are lines without one.
+// of time. Each line of a file holds a JSON object. Text before its first brace is ignored; other lines are skipped.
 func ExplainLogs(out io.Writer, files []string, id string) error {
 	var lines []logLine
 	for _, file := range files {
@@ -128,8 +129,8 @@
 	return out.String()
 }
 
-// selectTimeline returns the lines with the ID of a request or instance, sorted by time, together with the events of the
-// control group, the instances and the processes involved, from precedingWindow before the first of these lines to the last.
+// selectTimeline returns the lines with the ID of a request or instance and, from precedingWindow before the first of
+// them to the last, the events of the control group and of the instances and processes involved, sorted by time.
 func selectTimeline(lines []logLine, id string) []logLine {
 	var matching []logLine
 	for _, line := range lines {
