--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -1,4 +1,5 @@
-// Package operator implements the operator commands of the kitetiller program, which inspect and change a running system.
+// Package operator implements the commands of the kitetiller program with which operators inspect and change a running
+// system.
 package operator
 
 import (
