--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -19,7 +19,7 @@
 	"kitetiller/internal/settings"
 )
 
-// newFakeServer answers operators' requests with fixed replies.
+// newFakeServer returns a server that acts as control replica and router and sends fixed replies.
 func newFakeServer(t *testing.T) *httptest.Server {
 	t.Helper()
 	tree := settings.NewTree()
@@ -51,7 +51,7 @@
 			response.Read = &control.ReadReply{Version: 7, InForce: 6, Tree: tree, History: []settings.HistoryEntry{{Version: 7, OperationID: "op", Author: "lea", Edits: []settings.Edit{queueLimitEdit}}}}
 		case request.Catalog != nil:
 			if released := request.Catalog.Quarantine.Releases; len(released) != 1 || released[0].Reason != quarantine.ReasonOperator || len(released[0].Requests) != 2 {
-				t.Errorf("released %+v", released)
+				t.Errorf("got releases %+v, want one of two requests by the operator", released)
 			}
 		case request.Change != nil:
 			response.Change = &settings.Outcome{Kind: settings.OutcomeConflict, Version: 7, ChangesSinceBase: []settings.Difference{{Path: "/z1/llm", Setting: "queue_limit", After: json.RawMessage("64")}}}
@@ -73,7 +73,8 @@
 	return server
 }
 
-// TestCommandOutputMatchesGoldenFiles compares each table with its golden file; go test ./internal/operator -update writes them.
+// TestCommandOutputMatchesGoldenFiles compares the table of each command with its golden file; the flag -update writes
+// the files.
 func TestCommandOutputMatchesGoldenFiles(t *testing.T) {
 	address := newFakeServer(t).Listener.Addr().String()
 	for _, tc := range []struct {
@@ -102,7 +103,7 @@
 				t.Fatal(err)
 			}
 			if err := tc.run(command); (err != nil) != tc.wantErr {
-				t.Fatalf("error %v", err)
+				t.Fatalf("unexpected result: error %v", err)
 			}
 			goldie.New(t).Assert(t, tc.name, out.Bytes())
 		})
