--- a/internal/operator/story_test.go
+++ b/internal/operator/story_test.go
@@ -10,9 +10,8 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestExplainLogsMatchesGoldenFiles walks from a request's id to its cause by the logs alone: cut off by an engine that died; refused while its
-// gateway had lost control; refused although engines were free, since their weights were being replaced. The lines are of
-// played days, shortened.
+// TestExplainLogsMatchesGoldenFiles: the logs alone show why a request failed: its engine crashed; its gateway had no
+// contact to control; the weights of idle engines were being replaced.
 func TestExplainLogsMatchesGoldenFiles(t *testing.T) {
 	logs, err := filepath.Glob("testdata/logs/*.log")
 	if err != nil || len(logs) == 0 {
@@ -34,9 +33,9 @@
 func TestExplainLogsReportsUnknownIDAndMissingFile(t *testing.T) {
 	var out bytes.Buffer
 	if err := ExplainLogs(&out, []string{"testdata/logs/cut-day.log"}, "nowhere"); err == nil || out.Len() > 0 {
-		t.Fatalf("%v, %q", err, out.String())
+		t.Fatalf("unknown ID: error %v, output %q; want an error and no output", err, out.String())
 	}
 	if err := ExplainLogs(&out, []string{filepath.Join(t.TempDir(), "missing")}, "x"); err == nil || !errors.Is(err, fs.ErrNotExist) {
-		t.Fatalf("missing file: %v", err)
+		t.Fatalf("missing file: error %v, want fs.ErrNotExist", err)
 	}
 }
