--- a/internal/operator/story_test.go
+++ b/internal/operator/story_test.go
@@ -15,7 +15,7 @@
 func TestExplainLogsMatchesGoldenFiles(t *testing.T) {
 	logs, err := filepath.Glob("testdata/logs/*.log")
 	if err != nil || len(logs) == 0 {
-		t.Fatalf("%v: no logs", err)
+		t.Fatalf("%v: no logs found", err)
 	}
 	for name, id := range map[string]string{
 		"story-cut": "af794e4eaf4f0d1b", "story-untrusted": "43df76cf59848489", "story-loading": "e8969d03acfe35a1", "story-instance": "i-6d7e051a79",
