--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestRoutineLinesAreDroppedBeforeOthers: while the output is blocked, routine lines leave the reserve to other lines, which
-// are all written once the output is unblocked; the number of dropped lines is reported.
+// TestRoutineLinesAreDroppedBeforeOthers: while the output is blocked, routine lines leave the reserve to other lines,
+// which are all written once the output is unblocked; the number of dropped lines is reported.
 func TestRoutineLinesAreDroppedBeforeOthers(t *testing.T) {
 	output := &blockingWriter{unblocked: make(chan struct{})}
 	writer := newAsyncWriter(output)
