--- a/internal/api/backend.go
+++ b/internal/api/backend.go
@@ -7,7 +7,7 @@
 	"kitetiller/internal/prefix"
 )
 
-// Paths that a back end serves; docs/BACKENDS.md describes them.
+// Paths that back ends, the weight store and the platform serve; docs/BACKENDS.md describes those of back ends.
 const (
 	PathGenerate = "/v1/generate"
 	PathRun      = "/v1/run"
@@ -21,7 +21,7 @@
 	PathRuns     = "/v1/runs"
 )
 
-// GenerateRequest is one attempt sent to an engine.
+// GenerateRequest is one attempt of a request, sent to an engine.
 type GenerateRequest struct {
 	Request              string         `json:"request"`
 	Attempt              core.AttemptID `json:"attempt"`
@@ -43,7 +43,7 @@
 	Vault                string         `json:"vault,omitempty"`
 }
 
-// GenerateEventKind names an event of an engine's stream.
+// GenerateEventKind is the kind of an event of an engine's stream.
 type GenerateEventKind string
 
 // Kinds of stream events.
@@ -57,26 +57,26 @@
 type GenerateEvent struct {
 	Kind            GenerateEventKind `json:"k"`
 	Attempt         core.AttemptID    `json:"a"`
-	Index           int               `json:"i,omitempty"` // token position, or answer length
+	Index           int               `json:"i,omitempty"` // position of the token; at the end, the number of tokens of the response
 	Text            string            `json:"t,omitempty"`
 	Cached          int               `json:"cached,omitempty"`
 	Imported        int               `json:"imported,omitempty"`
 	Incarnation     uint64            `json:"inc,omitempty"`
-	NoReuse         bool              `json:"no_reuse,omitempty"`    // another life or other weights than relied on
+	NoReuse         bool              `json:"no_reuse,omitempty"`    // the engine's incarnation or weights differ from those expected
 	StoredBlocks    int               `json:"kept,omitempty"`        // blocks stored in the vault
-	AdvertisedLimit *float64          `json:"limit_per_s,omitempty"` // started: requests a second that the engine takes from all routers together
+	AdvertisedLimit *float64          `json:"limit_per_s,omitempty"` // in started: requests per second that the engine accepts from all routers together
 }
 
-// BackendRejection is the body of a 503 of a back end that provably did not take the request.
+// BackendRejection is the body of a 503 response of a back end that certainly did not execute the request.
 type BackendRejection struct {
 	Run             core.RunStatus `json:"run"`
 	Draining        bool           `json:"leaving,omitempty"`
 	RetryAfterMS    int64          `json:"retry_after_ms,omitempty"`
-	AdvertisedLimit *float64       `json:"limit_per_s,omitempty"` // requests a second that it takes from all routers together; absent names none
-	Incarnation     uint64         `json:"incarnation,omitempty"` // of the life that speaks; 0 it doesn't tell
+	AdvertisedLimit *float64       `json:"limit_per_s,omitempty"` // requests per second that it accepts from all routers together; nil if it advertises no limit
+	Incarnation     uint64         `json:"incarnation,omitempty"` // incarnation that responded; 0 if not stated
 }
 
-// RunRequest is one attempt sent to a small service.
+// RunRequest is one attempt of a request, sent to a small service.
 type RunRequest struct {
 	Request string         `json:"request"`
 	Attempt core.AttemptID `json:"attempt"`
@@ -86,16 +86,16 @@
 	Body    []byte         `json:"body"`
 }
 
-// RunResponse is a small service's answer.
+// RunResponse is a small service's response to a RunRequest.
 type RunResponse struct {
 	Attempt         core.AttemptID  `json:"attempt"`
 	Response        ledger.Response `json:"answer"`
-	AdvertisedLimit *float64        `json:"limit_per_s,omitempty"` // requests a second that the service's process takes from all routers together
+	AdvertisedLimit *float64        `json:"limit_per_s,omitempty"` // requests per second that the service's process accepts from all routers together
 
-	Incarnation uint64 `json:"incarnation,omitempty"` // of the life that speaks; 0 it doesn't tell
+	Incarnation uint64 `json:"incarnation,omitempty"` // incarnation that responded; 0 if not stated
 }
 
-// RunRecord is what a small service remembers of each run.
+// RunRecord is a small service's record of one run.
 type RunRecord struct {
 	Tenant  string `json:"tenant"`
 	Key     string `json:"key"`
@@ -104,48 +104,48 @@
 	UnixMS  int64  `json:"unix_ms"`
 }
 
-// StateReply is a back end's answer to a state poll.
+// StateReply is a back end's reply to a state poll.
 type StateReply struct {
 	Report core.BackendReport   `json:"report"`
 	Engine control.EngineReport `json:"engine"`
 }
 
-// CacheReply is an engine's full list of cached blocks as of an event sequence.
+// CacheReply is the full list of an engine's cached blocks as of an event's sequence number.
 type CacheReply struct {
 	Incarnation uint64        `json:"incarnation"`
 	Sequence    uint64        `json:"sequence"`
 	Blocks      []prefix.Hash `json:"blocks"`
 }
 
-// KVRequest names leading blocks of a chain, for match and keep.
+// KVRequest lists the leading blocks of a prompt, for the paths kv/match and kv/keep.
 type KVRequest struct {
 	Blocks []prefix.Hash `json:"blocks"`
 }
 
-// KVReply says how many leading blocks are held.
+// KVReply states how many of the leading blocks are cached.
 type KVReply struct {
 	CachedBlocks int `json:"held"`
 }
 
-// OrderReply says whether an engine took an order, and the highest fence it saw.
+// OrderReply states whether an engine accepted a weights order, and the highest fencing token it has seen.
 type OrderReply struct {
 	Accepted bool          `json:"accepted"`
 	Fence    control.Fence `json:"fence"`
 }
 
-// MachinesReply is the platform's list.
+// MachinesReply is the platform's list of machines.
 type MachinesReply struct {
 	Machines []core.Machine `json:"machines"`
 }
 
-// MachineEdit changes a line of the stand-in platform's list.
+// MachineEdit changes an entry in the machine list of the stand-in platform.
 type MachineEdit struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
 	Removed bool   `json:"removed"`
 }
 
-// FetchRequest asks the weight store for weights.
+// FetchRequest requests weights from the weight store for an engine.
 type FetchRequest struct {
 	Engine  string `json:"engine"`
 	Weights string `json:"weights"`
