--- a/internal/api/openai.go
+++ b/internal/api/openai.go
@@ -11,7 +11,7 @@
 }
 
 // CompletionRequest is the body of /v1/chat/completions (Messages) and /v1/completions (Prompt), as in the
-// OpenAI API. Fields the router does not know are ignored.
+// OpenAI API. Unknown fields are ignored.
 type CompletionRequest struct {
 	Model     string        `json:"model"`
 	Messages  []ChatMessage `json:"messages,omitempty"`
@@ -21,7 +21,7 @@
 	Seed      uint64        `json:"seed,omitempty"`
 }
 
-// Text returns the prompt as the engines see it.
+// Text returns the prompt as it is sent to the engines.
 func (r CompletionRequest) Text() string {
 	if len(r.Messages) == 0 {
 		return r.Prompt
@@ -37,14 +37,14 @@
 	return text.String()
 }
 
-// Usage counts tokens.
+// Usage is the token usage of a request.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Choice is the one choice of an answer; Delta is used in streams, Message and Text in whole answers.
+// Choice is the only choice of a response. Delta is used in streamed responses, Message and Text in others.
 type Choice struct {
 	Index        int          `json:"index"`
 	Delta        *ChatMessage `json:"delta,omitempty"`
@@ -53,7 +53,7 @@
 	FinishReason *string      `json:"finish_reason"`
 }
 
-// CompletionResponse is a whole answer, or one chunk of a stream.
+// CompletionResponse is a complete response, or one chunk of a streamed one.
 type CompletionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -63,39 +63,39 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// FinishStop is the finish reason of a complete answer.
+// FinishStop is the finish reason of a complete response.
 const FinishStop = "stop"
 
 // StreamEnd is the data of the last event of a complete stream.
 const StreamEnd = "[DONE]"
 
-// Headers that callers and the router exchange.
+// Headers of requests from callers and of the router's responses.
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderPriority       = "X-Priority"    // interactive or batch
-	HeaderDeadline       = "X-Deadline-Ms" // time to first token the caller allows
-	HeaderLastEventID    = "Last-Event-ID" // index of the last token the caller has
-	HeaderRouter         = "X-Router"      // router that answered
-	HeaderDraining       = "X-Draining"    // the router is stopping; the request was not taken
-	HeaderRun            = "X-Run"         // ran, for replayed answers
+	HeaderDeadline       = "X-Deadline-Ms" // time to first token that the caller accepts
+	HeaderLastEventID    = "Last-Event-ID" // index of the last token that the caller received
+	HeaderRouter         = "X-Router"      // name of the router that responded
+	HeaderDraining       = "X-Draining"    // set if the router rejected the request because it is stopping
+	HeaderRun            = "X-Run"         // "ran" in replayed responses
 )
 
-// Values of the field object in lists of models.
+// Values of the object field of ModelList and Model.
 const (
 	ObjectList  = "list"
 	ObjectModel = "model"
 )
 
-// ModelList is the answer of GET /v1/models, as in the OpenAI API.
+// ModelList is the response to GET /v1/models, as in the OpenAI API.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// Model is one model that a caller may name.
+// Model is a model that a caller may request.
 type Model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
-	OwnedBy string `json:"owned_by"` // the service that serves it
+	OwnedBy string `json:"owned_by"` // name of the service that serves it
 }
