--- a/internal/api/problem.go
+++ b/internal/api/problem.go
@@ -1,4 +1,4 @@
-// Package api holds the typed messages that callers, operators and back ends exchange with the system.
+// Package api defines the messages that callers, operators and back ends exchange with the system.
 package api
 
 import (
@@ -14,7 +14,7 @@
 // ProblemContentType is the media type of errors (RFC 9457).
 const ProblemContentType = "application/problem+json"
 
-// Problem is an error answer. Run says whether the request ran.
+// Problem is the body of an error response. Run states whether the request was executed.
 type Problem struct {
 	Type       string         `json:"type"`
 	Title      string         `json:"title"`
@@ -22,16 +22,16 @@
 	Detail     string         `json:"detail,omitempty"`
 	RequestID  string         `json:"request_id,omitempty"`
 	Run        core.RunStatus `json:"run"`
-	RetryAfter float64        `json:"retry_after_s,omitempty"` // seconds; 0 when trying again does not help
+	RetryAfter float64        `json:"retry_after_s,omitempty"` // seconds; 0 if a retry doesn't help
 }
 
-// NewProblem returns a problem of a reason.
+// NewProblem returns the problem for a reason.
 func NewProblem(reason core.Reason, run core.RunStatus, detail string) Problem {
 	status, title := DescribeReason(reason)
 	return Problem{Type: "urn:kitetiller:" + string(reason), Title: title, Status: status, Detail: detail, Run: run}
 }
 
-// DescribeReason maps a reason to its status and title.
+// DescribeReason returns the HTTP status and the title of a reason.
 func DescribeReason(reason core.Reason) (int, string) {
 	switch reason {
 	case core.ReasonRateLimit:
@@ -79,10 +79,10 @@
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(p.RetryAfter))))
 	}
 	w.WriteHeader(p.Status)
-	_ = json.NewEncoder(w).Encode(p) // a caller that is gone cannot be told
+	_ = json.NewEncoder(w).Encode(p) // the caller may have disconnected
 }
 
-// WithRetryAfter returns the problem with advice when to come back.
+// WithRetryAfter returns a copy of the problem that tells the caller when to retry.
 func (p Problem) WithRetryAfter(after time.Duration) Problem {
 	p.RetryAfter = after.Seconds()
 	return p
