--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -21,7 +21,7 @@
 	for _, reason := range rejectionReasons {
 		problem := NewProblem(reason, core.RunNot, "")
 		if problem.Status < 400 || problem.Title == "" || !strings.HasSuffix(problem.Type, string(reason)) {
-			t.Errorf("%s: %+v", reason, problem)
+			t.Errorf("%s: incomplete problem %+v", reason, problem)
 		}
 	}
 }
@@ -30,14 +30,14 @@
 	recorder := httptest.NewRecorder()
 	NewProblem(core.ReasonQueueFull, core.RunNot, "").WithRetryAfter(1200 * time.Millisecond).Write(recorder)
 	if got := recorder.Header().Get("Retry-After"); got != "2" {
-		t.Fatalf("Retry-After %q", got)
+		t.Fatalf("got Retry-After %q, want 2", got)
 	}
 	if got := recorder.Header().Get("Content-Type"); got != "application/problem+json" {
-		t.Fatalf("Content-Type %q", got)
+		t.Fatalf("got Content-Type %q, want application/problem+json", got)
 	}
 }
 
-// FuzzCompletionRequest: no body may crash the decoder or the prompt's text.
+// FuzzCompletionRequest: no body may make decoding or Text panic.
 func FuzzCompletionRequest(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"hi"}],"stream":true}`))
 	f.Add([]byte(`{"prompt":"hi","max_tokens":-1,"seed":18446744073709551615}`))
@@ -47,7 +47,7 @@
 			return
 		}
 		if len(request.Messages) == 0 && request.Text() != request.Prompt {
-			t.Fatal("a plain prompt was changed")
+			t.Fatal("Text changed the prompt of a request without messages")
 		}
 	})
 }
