--- a/internal/payload/compress.go
+++ b/internal/payload/compress.go
@@ -1,4 +1,5 @@
-// Package payload is how long messages travel: compressed, and with parts that many messages share encoded and compressed once.
+// Package payload encodes long messages for transport. It compresses them, and it encodes and compresses parts that many
+// messages share only once.
 package payload
 
 import (
@@ -11,23 +12,22 @@
 )
 
 const (
-	// MinCompressBytes is the length of a body from which it travels compressed. Messages of a calm fleet are shorter; rosters,
-	// registrations and snapshots are JSON that repeats itself and shrinks some ten times, which is what lets a whole roster pass a link
-	// of 10 Mbit/s in tens of milliseconds.
+	// MinCompressBytes is the minimum length of a body that is compressed. Rosters, registrations and snapshots are
+	// longer, and compress well; most other messages are shorter.
 	MinCompressBytes = 8 << 10
-	// Gzip names the encoding.
+	// Gzip is the name of the gzip content coding.
 	Gzip = "gzip"
 )
 
 var gzipWriters = sync.Pool{New: func() any {
 	w, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
-		panic("payload: the level of compression is not known: " + err.Error())
+		panic("payload: invalid compression level: " + err.Error())
 	}
 	return w
 }}
 
-// Compress returns a body as it travels, and its encoding, "" where it is sent as it is.
+// Compress returns a body, compressed if it is long enough, and its encoding: Gzip, or "" if it isn't compressed.
 func Compress(body []byte) ([]byte, string) {
 	if len(body) < MinCompressBytes {
 		return body, ""
@@ -35,7 +35,7 @@
 	return gzipMember(body), Gzip
 }
 
-// gzipMember returns data as one member of a compressed stream; members may follow each other.
+// gzipMember compresses data as one member of a gzip stream. Concatenated members decompress as one stream.
 func gzipMember(data []byte) []byte {
 	var compressed bytes.Buffer
 	w := gzipWriters.Get().(*gzip.Writer)
@@ -46,12 +46,12 @@
 		err = w.Close()
 	}
 	if err != nil {
-		panic("payload: memory cannot be written: " + err.Error())
+		panic("payload: compression into memory failed: " + err.Error())
 	}
 	return compressed.Bytes()
 }
 
-// Decompress returns a body that came in an encoding; one of more than most bytes is refused.
+// Decompress reads a body in the given encoding. A body that decompresses to more than maxBytes is an error.
 func Decompress(body io.Reader, encoding string, maxBytes int) ([]byte, error) {
 	switch encoding {
 	case "":
@@ -63,14 +63,14 @@
 		defer r.Close()
 		body = r
 	default:
-		return nil, eris.Errorf("encoding %q is not known", encoding)
+		return nil, eris.Errorf("unsupported encoding %q", encoding)
 	}
 	data, err := io.ReadAll(io.LimitReader(body, int64(maxBytes)+1))
 	if err != nil {
 		return nil, eris.Wrap(err, "read body")
 	}
 	if len(data) > maxBytes {
-		return nil, eris.Errorf("a body of more than %d bytes is not accepted", maxBytes)
+		return nil, eris.Errorf("body exceeds %d bytes", maxBytes)
 	}
 	return data, nil
 }
