--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// SharedJSON is JSON that is a part of many messages. It is encoded when it is made, and compressed when it first travels so.
+// SharedJSON is JSON that is part of many messages. It is encoded on creation and compressed on first use.
 type SharedJSON struct {
 	encoded  []byte
 	gzipOnce sync.Once
 	gzipped  []byte
 }
 
-// NewSharedJSON encodes a value.
+// NewSharedJSON encodes a value as JSON.
 func NewSharedJSON(value any) (*SharedJSON, error) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -22,7 +22,7 @@
 	return &SharedJSON{encoded: encoded}, nil
 }
 
-// MarshalJSON returns the JSON as it was made.
+// MarshalJSON returns the JSON that was encoded on creation.
 func (s *SharedJSON) MarshalJSON() ([]byte, error) { return s.encoded, nil }
 
 func (s *SharedJSON) compressed() []byte {
@@ -30,18 +30,19 @@
 	return s.gzipped
 }
 
-// Part is a piece of a message: bytes of its own, or JSON that it shares with others.
+// Part is a piece of a message: bytes of this message only, or JSON that it shares with others.
 type Part struct {
 	Raw    []byte
-	Shared *SharedJSON // instead of Own; or nil
+	Shared *SharedJSON // used instead of Raw if not nil
 }
 
-// Composite is a message that is made of parts. Together they are its JSON.
+// Composite is a message whose JSON is the concatenation of its parts.
 type Composite interface {
 	Parts() ([]Part, error)
 }
 
-// Assemble returns the bytes of a message made of parts, as it travels, and its encoding. Compressing costs what the own parts are.
+// Assemble concatenates the parts of a message and returns the body and its encoding: Gzip, or "" if it isn't compressed.
+// Only parts that aren't shared are compressed on each call.
 func Assemble(parts []Part, acceptsGzip bool) (body []byte, encoding string) {
 	length := 0
 	for _, p := range parts {
