--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -8,7 +8,7 @@
 
 const rosterEntry = `{"id":"engine-000017-3","address":"10.1.2.3:8000","zone":"a","state":"ready"},`
 
-// TestOnlyLongBodiesAreCompressed: and only these; JSON that repeats itself shrinks at least eight times.
+// TestOnlyLongBodiesAreCompressed: repetitive JSON shrinks at least eightfold, and bodies survive the round trip.
 func TestOnlyLongBodiesAreCompressed(t *testing.T) {
 	for _, count := range []int{1, 1000, 2000} {
 		body := []byte(strings.Repeat(rosterEntry, count))
@@ -20,25 +20,26 @@
 			continue
 		}
 		if encoding != Gzip || len(compressed)*8 > len(body) {
-			t.Fatalf("%d bytes travel as %d, encoding %q", len(body), len(compressed), encoding)
+			t.Fatalf("%d bytes are encoded as %d, encoding %q", len(body), len(compressed), encoding)
 		}
 		decompressed, err := Decompress(bytes.NewReader(compressed), encoding, len(body))
 		if err != nil || !bytes.Equal(decompressed, body) {
-			t.Fatalf("%d bytes came back as %d: %v", len(body), len(decompressed), err)
+			t.Fatalf("a body of %d bytes decompressed to %d different ones: %v", len(body), len(decompressed), err)
 		}
 		if _, err := Decompress(bytes.NewReader(compressed), encoding, len(body)-1); err == nil {
-			t.Fatal("a body that is too long was taken")
+			t.Fatal("a body longer than the maximum was accepted")
 		}
 	}
 	if _, err := Decompress(strings.NewReader("nonsense"), Gzip, 1000); err == nil {
-		t.Fatal("nonsense was expanded")
+		t.Fatal("a body that isn't gzip was decompressed")
 	}
 	if _, err := Decompress(strings.NewReader("x"), "br", 1000); err == nil {
-		t.Fatal("an encoding that isn't known was taken")
+		t.Fatal("an unsupported encoding was accepted")
 	}
 }
 
-// TestSharedPartsAreCompressedOnce: a message with a large shared part costs about what its own parts do, and reads as one.
+// TestSharedPartsAreCompressedOnce: a message with a shared part decompresses to the whole message, and the shared part is
+// compressed only for the first such message.
 func TestSharedPartsAreCompressedOnce(t *testing.T) {
 	shared, err := NewSharedJSON(strings.Split(strings.Repeat(rosterEntry, 4000), ","))
 	if err != nil {
@@ -47,12 +48,12 @@
 	parts := []Part{{Raw: []byte(`{"kind":"ok","roster":`)}, {Shared: shared}, {Raw: []byte(`}`)}}
 	plain, encoding := Assemble(parts, false)
 	if encoding != "" {
-		t.Fatalf("encoding %q for one who doesn't take it", encoding)
+		t.Fatalf("got encoding %q for a recipient that doesn't accept gzip", encoding)
 	}
 	compressed, encoding := Assemble(parts, true)
 	decompressed, err := Decompress(bytes.NewReader(compressed), encoding, len(plain))
 	if err != nil || !bytes.Equal(decompressed, plain) {
-		t.Fatalf("%d bytes came back as %d: %v", len(plain), len(decompressed), err)
+		t.Fatalf("a message of %d bytes decompressed to %d different ones: %v", len(plain), len(decompressed), err)
 	}
 	firstGzip := shared.compressed()
 	Assemble(parts, true)
