--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -10,7 +10,7 @@
 	"kitetiller/internal/core"
 )
 
-// rejectionReasons that the core can refuse with.
+// rejectionReasons are reasons for which the core rejects requests.
 var rejectionReasons = []core.Reason{
 	core.ReasonNoSettings, core.ReasonNoLease, core.ReasonDraining, core.ReasonUnknownService, core.ReasonRateLimit, core.ReasonConcurrencyLimit,
 	core.ReasonQueueFull, core.ReasonDeadline, core.ReasonNoBackend, core.ReasonRetriesExhausted, core.ReasonKeyRequired, core.ReasonKeyReused,
--- a/internal/api/backend.go
+++ b/internal/api/backend.go
@@ -7,7 +7,7 @@
 	"kitetiller/internal/prefix"
 )
 
-// Paths that back ends, the weight store and the platform serve; docs/BACKENDS.md describes those of back ends.
+// Paths that back ends, the KV store, the weight store and the platform serve; docs/BACKENDS.md describes them.
 const (
 	PathGenerate = "/v1/generate"
 	PathRun      = "/v1/run"
--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestSharedPartsAreCompressedOnce: a message with a shared part decompresses to the whole message, and the shared part is
-// compressed only for the first such message.
+// TestSharedPartsAreCompressedOnce: a message with a shared part decompresses to the whole message, and the shared
+// part is compressed only for the first such message.
 func TestSharedPartsAreCompressedOnce(t *testing.T) {
 	shared, err := NewSharedJSON(strings.Split(strings.Repeat(rosterEntry, 4000), ","))
 	if err != nil {
--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -41,8 +41,8 @@
 	Parts() ([]Part, error)
 }
 
-// Assemble concatenates the parts of a message and returns the body and its encoding: Gzip, or "" if it isn't compressed.
-// Only parts that aren't shared are compressed on each call.
+// Assemble concatenates the parts of a message and returns the body and its encoding: Gzip, or "" if it isn't
+// compressed. Only parts that aren't shared are compressed on each call.
 func Assemble(parts []Part, acceptsGzip bool) (body []byte, encoding string) {
 	length := 0
 	for _, p := range parts {
