--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -1,6 +1,6 @@
-// Package node contains what every process of the system needs: its settings file, its log and its metrics endpoint.
-// The settings file is validated as a whole before the process starts; all problems are reported together, each with
-// its line, its path and the allowed values.
+// Package node contains what the processes of the system share: the settings file of routers and control replicas, the
+// log and the metrics endpoint. A settings file is validated as a whole before its process starts; all problems are
+// reported together, each with its line, its path and the allowed values.
 package node
 
 import (
@@ -33,8 +33,8 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// Decode decodes YAML into target, a pointer to a struct with yaml tags, and returns all problems, among them keys that
-// the struct does not have. The second result maps each path to its line number, for later checks.
+// Decode decodes YAML into target, a pointer to a struct with yaml tags, and returns all problems. Unknown keys are
+// problems too. The second result maps each path to its line number, for later checks.
 func Decode(data []byte, target any) ([]Problem, map[string]int) {
 	d := &decoder{lines: map[string]int{}}
 	file, err := parser.ParseBytes(data, 0)
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -28,7 +28,7 @@
 // inForceTimeout bounds how long --wait waits.
 const inForceTimeout = 30 * time.Second
 
-// Get prints the settings that are set at a path and below it, or the effective settings of the path with their origins.
+// Get prints the settings that are set at a path and below it, or the effective settings of the path and their origins.
 func (c *Command) Get(path string, effective bool) error {
 	read, err := c.readSettings(false)
 	if err != nil {
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// writeLimits prints the limits that all gateways share, advertised ones of back ends included, as the leader sees them.
+// writeLimits prints the limits that all gateways share, including those that back ends advertise, as the leader sees
+// them.
 func writeLimits(w *tabwriter.Writer, status SystemStatus) {
 	for _, reply := range status.Control {
 		if reply.LeaseHeld && len(reply.Named) > 0 {
--- a/internal/payload/compress.go
+++ b/internal/payload/compress.go
@@ -1,5 +1,5 @@
-// Package payload encodes long messages for transport. It compresses them, and it encodes and compresses parts that many
-// messages share only once.
+// Package payload encodes long messages for transport. It compresses them, and it encodes and compresses parts that
+// many messages share only once.
 package payload
 
 import (
