--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -30,12 +30,12 @@
 
 // Get prints the settings that are set at a path and below it, or the effective settings of the path and their origins.
 func (c *Command) Get(path string, effective bool) error {
-	read, err := c.readSettings(false)
+	reply, err := c.readSettings(false)
 	if err != nil {
 		return err
 	}
 	if effective {
-		origins := read.Tree.Explain(settings.Path(path).Elements()...)
+		origins := reply.Tree.Explain(settings.Path(path).Elements()...)
 		return c.emit(origins, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "SETTING\tVALUE\tSET AT")
 			for _, origin := range origins {
@@ -43,7 +43,7 @@
 			}
 		})
 	}
-	return c.printTree(read, path)
+	return c.printTree(reply, path)
 }
 
 func (c *Command) printTree(read *control.ReadReply, root string) error {
