--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -46,25 +46,25 @@
 	return c.printTree(reply, path)
 }
 
-func (c *Command) printTree(read *control.ReadReply, root string) error {
+func (c *Command) printTree(reply *control.ReadReply, root string) error {
 	type line struct {
 		Path    settings.Path   `json:"path"`
 		Setting string          `json:"setting"`
 		Value   json.RawMessage `json:"value"`
 	}
 	var lines []line
-	for _, path := range read.Tree.Paths() {
+	for _, path := range reply.Tree.Paths() {
 		if root != "/" && path != settings.Path(root) && !strings.HasPrefix(string(path), root+"/") {
 			continue
 		}
 		for _, definition := range settings.Definitions() {
-			if value, set := read.Tree.Nodes[path].Get(definition.Name); set {
+			if value, set := reply.Tree.Nodes[path].Get(definition.Name); set {
 				lines = append(lines, line{path, definition.Name, value})
 			}
 		}
 	}
 	return c.emit(lines, func(w *tabwriter.Writer) {
-		fmt.Fprintf(w, "version %d, in force %d\n", read.Version, read.InForce)
+		fmt.Fprintf(w, "version %d, in force %d\n", reply.Version, reply.InForce)
 		fmt.Fprintln(w, "PATH\tSETTING\tVALUE")
 		for _, item := range lines {
 			fmt.Fprintf(w, "%s\t%s\t%s\n", item.Path, item.Setting, item.Value)
