--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -104,8 +104,8 @@
 	if err != nil {
 		return desired, nil, err
 	}
-	read, err := c.readSettings(false)
-	return desired, read, err
+	reply, err := c.readSettings(false)
+	return desired, reply, err
 }
 
 // Edit makes the tree equal to that of a file, in one atomic change.
