--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -110,17 +110,17 @@
 
 // Edit makes the tree equal to that of a file, in one atomic change.
 func (c *Command) Edit(path string, options ChangeOptions) error {
-	desired, read, err := c.desiredAndCurrent(path)
+	desired, reply, err := c.desiredAndCurrent(path)
 	if err != nil {
 		return err
 	}
-	edits := settings.DiffEdits(read.Tree, desired)
+	edits := settings.DiffEdits(reply.Tree, desired)
 	if len(edits) == 0 {
-		c.printf("no difference: version %d already equals %s\n", read.Version, path)
+		c.printf("no difference: version %d already equals %s\n", reply.Version, path)
 		return nil
 	}
 	if options.Base < 0 {
-		options.Base = int64(read.Version)
+		options.Base = int64(reply.Version)
 	}
 	return c.change(edits, options)
 }
