--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -127,11 +127,11 @@
 
 // Diff prints what Edit would change.
 func (c *Command) Diff(path string) error {
-	desired, read, err := c.desiredAndCurrent(path)
+	desired, reply, err := c.desiredAndCurrent(path)
 	if err != nil {
 		return err
 	}
-	differences := settings.Diff(read.Tree, desired)
+	differences := settings.Diff(reply.Tree, desired)
 	return c.emit(differences, func(w *tabwriter.Writer) { writeDifferences(w, differences) })
 }
 
