--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -184,11 +184,11 @@
 // newChange fills in the base version and the operation ID if the options leave them open.
 func (c *Command) newChange(edits []settings.Edit, options ChangeOptions) (*settings.Change, error) {
 	if options.Base < 0 {
-		read, err := c.readSettings(false)
+		reply, err := c.readSettings(false)
 		if err != nil {
 			return nil, err
 		}
-		options.Base = int64(read.Version)
+		options.Base = int64(reply.Version)
 	}
 	if options.OperationID == "" {
 		random := make([]byte, 8)
