--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -201,8 +201,8 @@
 func (c *Command) waitInForce(version uint64) error {
 	deadline := time.Now().Add(inForceTimeout)
 	for time.Now().Before(deadline) {
-		read, err := c.readSettings(false)
-		if err == nil && read.InForce >= version {
+		reply, err := c.readSettings(false)
+		if err == nil && reply.InForce >= version {
 			c.printf("in force everywhere: version %d\n", version)
 			return nil
 		}
