--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -213,13 +213,13 @@
 
 // History prints the most recent accepted changes.
 func (c *Command) History() error {
-	read, err := c.readSettings(true)
+	reply, err := c.readSettings(true)
 	if err != nil {
 		return err
 	}
-	return c.emit(read.History, func(w *tabwriter.Writer) {
+	return c.emit(reply.History, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "VERSION\tTIME\tAUTHOR\tOPERATION\tEDITS")
-		for _, entry := range read.History {
+		for _, entry := range reply.History {
 			at := time.UnixMilli(entry.UnixMS).UTC().Format(time.RFC3339)
 			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", entry.Version, at, orDash(entry.Author), entry.OperationID, summarizeEdits(entry.Edits))
 		}
