--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -101,6 +101,7 @@
 	return line, true
 }
 
+// stringField returns the value of a field, or "" if it is missing or not a string.
 func (l logLine) stringField(name string) string {
 	text, _ := l.fields[name].(string)
 	return text
