--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -31,8 +31,8 @@
 // First is the cause of parts that nobody had read before: not again.
 const First = "first"
 
-// ReadsBy returns the tokens a day of shared parts that were expected to be read again, by what a key makes of each.
-func ReadsBy(days []Day, key func(Read) string) []Row {
+// RecomputedTokensBy returns the tokens a day of shared parts that were expected to be read again, by what a key makes of each.
+func RecomputedTokensBy(days []Day, key func(Read) string) []Row {
 	sums := map[string]float64{}
 	for _, d := range days {
 		for _, r := range d.Reads {
--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -58,7 +58,7 @@
 
 // printReads writes the tables of shared parts that were read again.
 func printReads(w io.Writer, days []Day, span time.Duration) {
-	causes := ReadsBy(days, func(r Read) string { return r.Cause })
+	causes := RecomputedTokensBy(days, func(r Read) string { return r.Cause })
 	told, known := 0.0, 0.0
 	for _, d := range days {
 		told += d.ReadAgain / float64(len(days))
@@ -86,7 +86,7 @@
 		{"from second, cause", func(r Read) string { return fmt.Sprintf("%4g, %s", r.At.Truncate(span).Seconds(), r.Cause) }},
 	} {
 		fmt.Fprintf(w, "\n| %s | tokens a day | share |\n|---|---|---|\n", table.name)
-		for _, r := range ReadsBy(days, table.key) {
+		for _, r := range RecomputedTokensBy(days, table.key) {
 			fmt.Fprintf(w, "| %s | %.0f | %.1f%% |\n", r.Name, r.Value, 100*r.Share)
 		}
 	}
