--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -35,7 +35,7 @@
 func RecomputedTokensBy(days []Day, key func(Read) string) []Row {
 	sums := map[string]float64{}
 	for _, d := range days {
-		for _, r := range d.Reads {
+		for _, r := range d.Recomputes {
 			if r.Cause != First {
 				sums[key(r)] += float64(r.Tokens) / float64(len(days))
 			}
