--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -20,8 +20,8 @@
 	ReadAgain float64
 }
 
-// Read tells of shared parts that a request's engine was expected to read, by the line of its answer.
-type Read struct {
+// Recompute tells of shared parts that a request's engine was expected to read, by the line of its answer.
+type Recompute struct {
 	At     time.Duration // as Event tells it
 	Route  string
 	Cause  string
@@ -32,7 +32,7 @@
 const First = "first"
 
 // RecomputedTokensBy returns the tokens a day of shared parts that were expected to be read again, by what a key makes of each.
-func RecomputedTokensBy(days []Day, key func(Read) string) []Row {
+func RecomputedTokensBy(days []Day, key func(Recompute) string) []Row {
 	sums := map[string]float64{}
 	for _, d := range days {
 		for _, r := range d.Recomputes {
--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -38,7 +38,7 @@
 // Lines is what the lines of a log tell.
 type Lines struct {
 	Events     []Event
-	Recomputes []Read
+	Recomputes []Recompute
 	Broken     int // objects that can't be read: cut short, or of something else
 }
 
@@ -66,7 +66,7 @@
 			at = seconds
 		}
 		if line.Reread > 0 && line.Msg == events.RequestAnswered {
-			found.Recomputes = append(found.Recomputes, Read{At: at, Route: line.Route, Cause: line.Why, Tokens: line.Reread})
+			found.Recomputes = append(found.Recomputes, Recompute{At: at, Route: line.Route, Cause: line.Why, Tokens: line.Reread})
 		}
 		if event, counts := line.event(); counts {
 			event.At, event.Line = at, scanner.Text()
--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -58,7 +58,7 @@
 
 // printReads writes the tables of shared parts that were read again.
 func printReads(w io.Writer, days []Day, span time.Duration) {
-	causes := RecomputedTokensBy(days, func(r Read) string { return r.Cause })
+	causes := RecomputedTokensBy(days, func(r Recompute) string { return r.Cause })
 	told, known := 0.0, 0.0
 	for _, d := range days {
 		told += d.ReadAgain / float64(len(days))
@@ -79,11 +79,11 @@
 	fmt.Fprintln(w)
 	for _, table := range []struct {
 		name string
-		key  func(Read) string
+		key  func(Recompute) string
 	}{
-		{"cause", func(r Read) string { return r.Cause }},
-		{"route", func(r Read) string { return r.Route }},
-		{"from second, cause", func(r Read) string { return fmt.Sprintf("%4g, %s", r.At.Truncate(span).Seconds(), r.Cause) }},
+		{"cause", func(r Recompute) string { return r.Cause }},
+		{"route", func(r Recompute) string { return r.Route }},
+		{"from second, cause", func(r Recompute) string { return fmt.Sprintf("%4g, %s", r.At.Truncate(span).Seconds(), r.Cause) }},
 	} {
 		fmt.Fprintf(w, "\n| %s | tokens a day | share |\n|---|---|---|\n", table.name)
 		for _, r := range RecomputedTokensBy(days, table.key) {
