--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -16,8 +16,8 @@
 	Worth  float64 // what was earned of what was owed, less prices; of the reports only
 	Losses []Loss
 	Lines
-	// ReadAgain is how many tokens of shared parts were read again, by the report; 0 without one.
-	ReadAgain float64
+	// RecomputedTokens is how many tokens of shared parts were read again, by the report; 0 without one.
+	RecomputedTokens float64
 }
 
 // Recompute tells of shared parts that a request's engine was expected to read, by the line of its answer.
--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -61,7 +61,7 @@
 	causes := RecomputedTokensBy(days, func(r Recompute) string { return r.Cause })
 	told, known := 0.0, 0.0
 	for _, d := range days {
-		told += d.ReadAgain / float64(len(days))
+		told += d.RecomputedTokens / float64(len(days))
 	}
 	if len(causes) == 0 {
 		if told > 0 {
