--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -28,15 +28,15 @@
 	Tokens int
 }
 
-// First is the cause of parts that nobody had read before: not again.
-const First = "first"
+// CauseFirstUse is the cause of parts that nobody had read before: not again.
+const CauseFirstUse = "first"
 
 // RecomputedTokensBy returns the tokens a day of shared parts that were expected to be read again, by what a key makes of each.
 func RecomputedTokensBy(days []Day, key func(Recompute) string) []Row {
 	sums := map[string]float64{}
 	for _, d := range days {
 		for _, r := range d.Recomputes {
-			if r.Cause != First {
+			if r.Cause != CauseFirstUse {
 				sums[key(r)] += float64(r.Tokens) / float64(len(days))
 			}
 		}
