--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -63,7 +63,7 @@
 
 // Outcomes of requests and attempts.
 const (
-	Refused  Outcome = "refused"        // the gateway answered itself
+	Rejected Outcome = "refused"        // the gateway answered itself
 	Failed   Outcome = "failed"         // the back end's answer was a failure
 	Late     Outcome = "late"           // served, not within the objective
 	Repeated Outcome = "attempt failed" // an attempt; the request may have been served by another one
--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -90,7 +90,7 @@
 func (l *logLine) event() (Event, bool) {
 	switch {
 	case l.Msg == events.RequestRejected:
-		return Event{Outcome: Refused, Mechanism: l.Reason}, true
+		return Event{Outcome: Rejected, Mechanism: l.Reason}, true
 	case l.Msg == events.RequestAnswered && l.Status >= 500:
 		return Event{Outcome: Failed, Mechanism: "status " + strconv.Itoa(l.Status)}, true
 	case l.Msg == events.RequestAnswered && l.Late:
--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -20,7 +20,7 @@
 )
 
 // outcomes in the order of tables and plots.
-var outcomes = []Outcome{Refused, Failed, Late, Repeated}
+var outcomes = []Outcome{Rejected, Failed, Late, Repeated}
 
 // Print writes the tables of a set of days.
 func Print(w io.Writer, days []Day, span time.Duration) {
