--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -63,10 +63,10 @@
 
 // Outcomes of requests and attempts.
 const (
-	Rejected Outcome = "refused"        // the gateway answered itself
-	Failed   Outcome = "failed"         // the back end's answer was a failure
-	Late     Outcome = "late"           // served, not within the objective
-	Repeated Outcome = "attempt failed" // an attempt; the request may have been served by another one
+	Rejected      Outcome = "refused"        // the gateway answered itself
+	Failed        Outcome = "failed"         // the back end's answer was a failure
+	Late          Outcome = "late"           // served, not within the objective
+	AttemptFailed Outcome = "attempt failed" // an attempt; the request may have been served by another one
 )
 
 // Row is a line of a table.
--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -96,7 +96,7 @@
 	case l.Msg == events.RequestAnswered && l.Late:
 		return Event{Outcome: Late, Mechanism: "answered after the objective"}, true
 	case l.Msg == events.AttemptFailed:
-		return Event{Outcome: Repeated, Mechanism: l.Result + ", " + names.ReplaceAllString(l.Cause, "*")}, true
+		return Event{Outcome: AttemptFailed, Mechanism: l.Result + ", " + names.ReplaceAllString(l.Cause, "*")}, true
 	}
 	return Event{}, false
 }
--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -20,7 +20,7 @@
 )
 
 // outcomes in the order of tables and plots.
-var outcomes = []Outcome{Rejected, Failed, Late, Repeated}
+var outcomes = []Outcome{Rejected, Failed, Late, AttemptFailed}
 
 // Print writes the tables of a set of days.
 func Print(w io.Writer, days []Day, span time.Duration) {
