--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -83,16 +83,16 @@
 	for _, value := range sums {
 		total += value
 	}
-	var made []Row
+	var result []Row
 	for _, name := range slices.Sorted(maps.Keys(sums)) {
 		row := Row{Name: name, Value: sums[name], Line: examples[name]}
 		if total > 0 {
 			row.Share = row.Value / total
 		}
-		made = append(made, row)
+		result = append(result, row)
 	}
-	slices.SortStableFunc(made, func(a, b Row) int { return cmp.Compare(b.Value, a.Value) })
-	return made
+	slices.SortStableFunc(result, func(a, b Row) int { return cmp.Compare(b.Value, a.Value) })
+	return result
 }
 
 // ByCause returns the worth lost to each cause, the mean of the days.
