--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -127,8 +127,8 @@
 	Counts map[Outcome]float64 // a day
 }
 
-// ByMoment returns the spans of a length, rising, without those where nothing was lost.
-func ByMoment(days []Day, span time.Duration) []Moment {
+// ByInterval returns the spans of a length, rising, without those where nothing was lost.
+func ByInterval(days []Day, span time.Duration) []Moment {
 	found := map[time.Duration]map[Outcome]float64{}
 	for _, d := range days {
 		for _, e := range d.Events {
--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -42,7 +42,7 @@
 			fmt.Fprintf(w, "\n%d lines of %s can't be read: cut short, or of something else\n", d.Broken, d.Name)
 		}
 	}
-	moments := ByMoment(days, span)
+	moments := ByInterval(days, span)
 	if len(moments) == 0 {
 		return
 	}
@@ -111,7 +111,7 @@
 	p.Title.Text = "requests lost, a day"
 	p.X.Label.Text, p.Y.Label.Text = "second", "requests in "+span.String()
 	p.Legend.Top = true
-	moments := ByMoment(days, span)
+	moments := ByInterval(days, span)
 	for i, o := range outcomes {
 		var points plotter.XYs
 		for _, m := range moments {
