--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -121,14 +121,14 @@
 	return rows(sums, examples)
 }
 
-// Moment is a span of a day with the requests that were lost in it.
-type Moment struct {
+// Interval is a span of a day with the requests that were lost in it.
+type Interval struct {
 	From   time.Duration
 	Counts map[Outcome]float64 // a day
 }
 
 // ByInterval returns the spans of a length, rising, without those where nothing was lost.
-func ByInterval(days []Day, span time.Duration) []Moment {
+func ByInterval(days []Day, span time.Duration) []Interval {
 	found := map[time.Duration]map[Outcome]float64{}
 	for _, d := range days {
 		for _, e := range d.Events {
@@ -139,9 +139,9 @@
 			found[from][e.Outcome] += 1 / float64(len(days))
 		}
 	}
-	var moments []Moment
+	var moments []Interval
 	for _, from := range slices.Sorted(maps.Keys(found)) {
-		moments = append(moments, Moment{From: from, Counts: found[from]})
+		moments = append(moments, Interval{From: from, Counts: found[from]})
 	}
 	return moments
 }
