--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -123,7 +123,7 @@
 
 // Interval is a span of a day with the requests that were lost in it.
 type Interval struct {
-	From   time.Duration
+	Start  time.Duration
 	Counts map[Outcome]float64 // a day
 }
 
@@ -141,7 +141,7 @@
 	}
 	var moments []Interval
 	for _, from := range slices.Sorted(maps.Keys(found)) {
-		moments = append(moments, Interval{From: from, Counts: found[from]})
+		moments = append(moments, Interval{Start: from, Counts: found[from]})
 	}
 	return moments
 }
--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -48,7 +48,7 @@
 	}
 	fmt.Fprintf(w, "\n| from second | refused | failed | late | attempts failed |\n|---|---|---|---|---|\n")
 	for _, m := range moments {
-		fmt.Fprintf(w, "| %g |", m.From.Seconds())
+		fmt.Fprintf(w, "| %g |", m.Start.Seconds())
 		for _, o := range outcomes {
 			fmt.Fprintf(w, " %.1f |", m.Counts[o])
 		}
@@ -115,7 +115,7 @@
 	for i, o := range outcomes {
 		var points plotter.XYs
 		for _, m := range moments {
-			points = append(points, plotter.XY{X: m.From.Seconds(), Y: m.Counts[o]})
+			points = append(points, plotter.XY{X: m.Start.Seconds(), Y: m.Counts[o]})
 		}
 		if len(points) == 0 {
 			continue
