--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -129,19 +129,19 @@
 
 // ByInterval returns the spans of a length, rising, without those where nothing was lost.
 func ByInterval(days []Day, span time.Duration) []Interval {
-	found := map[time.Duration]map[Outcome]float64{}
+	byStart := map[time.Duration]map[Outcome]float64{}
 	for _, d := range days {
 		for _, e := range d.Events {
 			from := e.At.Truncate(span)
-			if found[from] == nil {
-				found[from] = map[Outcome]float64{}
+			if byStart[from] == nil {
+				byStart[from] = map[Outcome]float64{}
 			}
-			found[from][e.Outcome] += 1 / float64(len(days))
+			byStart[from][e.Outcome] += 1 / float64(len(days))
 		}
 	}
 	var moments []Interval
-	for _, from := range slices.Sorted(maps.Keys(found)) {
-		moments = append(moments, Interval{Start: from, Counts: found[from]})
+	for _, from := range slices.Sorted(maps.Keys(byStart)) {
+		moments = append(moments, Interval{Start: from, Counts: byStart[from]})
 	}
 	return moments
 }
