--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -139,11 +139,11 @@
 			byStart[from][e.Outcome] += 1 / float64(len(days))
 		}
 	}
-	var moments []Interval
+	var intervals []Interval
 	for _, from := range slices.Sorted(maps.Keys(byStart)) {
-		moments = append(moments, Interval{Start: from, Counts: byStart[from]})
+		intervals = append(intervals, Interval{Start: from, Counts: byStart[from]})
 	}
-	return moments
+	return intervals
 }
 
 // Pair is a day that was played twice, by two states of the code.
