--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -128,11 +128,11 @@
 }
 
 // ByInterval returns the spans of a length, rising, without those where nothing was lost.
-func ByInterval(days []Day, span time.Duration) []Interval {
+func ByInterval(days []Day, length time.Duration) []Interval {
 	byStart := map[time.Duration]map[Outcome]float64{}
 	for _, d := range days {
 		for _, e := range d.Events {
-			from := e.At.Truncate(span)
+			from := e.At.Truncate(length)
 			if byStart[from] == nil {
 				byStart[from] = map[Outcome]float64{}
 			}
