--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -156,9 +156,9 @@
 func Pairs(before, after []Day) []Pair {
 	var pairs []Pair
 	for _, b := range before {
-		at := slices.IndexFunc(after, func(a Day) bool { return a.Name == b.Name })
-		if at >= 0 {
-			pairs = append(pairs, Pair{Name: b.Name, Before: b.Worth, After: after[at].Worth})
+		i := slices.IndexFunc(after, func(a Day) bool { return a.Name == b.Name })
+		if i >= 0 {
+			pairs = append(pairs, Pair{Name: b.Name, Before: b.Worth, After: after[i].Worth})
 		}
 	}
 	slices.SortFunc(pairs, func(a, b Pair) int { return strings.Compare(a.Name, b.Name) })
