--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -152,8 +152,8 @@
 	Before, After float64 // worth
 }
 
-// Pairs returns the days of the same name in two sets.
-func Pairs(before, after []Day) []Pair {
+// CompareDays returns the days of the same name in two sets.
+func CompareDays(before, after []Day) []Pair {
 	var pairs []Pair
 	for _, b := range before {
 		i := slices.IndexFunc(after, func(a Day) bool { return a.Name == b.Name })
