--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -146,21 +146,21 @@
 	return intervals
 }
 
-// Pair is a day that was played twice, by two states of the code.
-type Pair struct {
+// DayComparison is a day that was played twice, by two states of the code.
+type DayComparison struct {
 	Name          string
 	Before, After float64 // worth
 }
 
 // CompareDays returns the days of the same name in two sets.
-func CompareDays(before, after []Day) []Pair {
-	var pairs []Pair
+func CompareDays(before, after []Day) []DayComparison {
+	var pairs []DayComparison
 	for _, b := range before {
 		i := slices.IndexFunc(after, func(a Day) bool { return a.Name == b.Name })
 		if i >= 0 {
-			pairs = append(pairs, Pair{Name: b.Name, Before: b.Worth, After: after[i].Worth})
+			pairs = append(pairs, DayComparison{Name: b.Name, Before: b.Worth, After: after[i].Worth})
 		}
 	}
-	slices.SortFunc(pairs, func(a, b Pair) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(pairs, func(a, b DayComparison) int { return strings.Compare(a.Name, b.Name) })
 	return pairs
 }
--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -93,7 +93,7 @@
 }
 
 // PrintPairs writes what changed from one state of the code to another, day by day.
-func PrintPairs(w io.Writer, pairs []Pair) {
+func PrintPairs(w io.Writer, pairs []DayComparison) {
 	fmt.Fprintf(w, "\n| day | before | after | difference |\n|---|---|---|---|\n")
 	sum := 0.0
 	for _, p := range pairs {
