--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -154,13 +154,13 @@
 
 // CompareDays returns the days of the same name in two sets.
 func CompareDays(before, after []Day) []DayComparison {
-	var pairs []DayComparison
+	var comparisons []DayComparison
 	for _, b := range before {
 		i := slices.IndexFunc(after, func(a Day) bool { return a.Name == b.Name })
 		if i >= 0 {
-			pairs = append(pairs, DayComparison{Name: b.Name, Before: b.Worth, After: after[i].Worth})
+			comparisons = append(comparisons, DayComparison{Name: b.Name, Before: b.Worth, After: after[i].Worth})
 		}
 	}
-	slices.SortFunc(pairs, func(a, b DayComparison) int { return strings.Compare(a.Name, b.Name) })
-	return pairs
+	slices.SortFunc(comparisons, func(a, b DayComparison) int { return strings.Compare(a.Name, b.Name) })
+	return comparisons
 }
