--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -14,8 +14,8 @@
 	"kitetiller/internal/events"
 )
 
-// maximumLine bounds one line of a log; a longer one ends the reading with an error.
-const maximumLine = 1 << 20
+// maxLineBytes bounds one line of a log; a longer one ends the reading with an error.
+const maxLineBytes = 1 << 20
 
 // logLine is what of a log line is looked at.
 type logLine struct {
@@ -46,7 +46,7 @@
 // a process's name where the log was gathered from several. Other lines are passed over.
 func ReadLines(from io.Reader) (found Lines, err error) {
 	scanner := bufio.NewScanner(from)
-	scanner.Buffer(make([]byte, 0, 64<<10), maximumLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var first time.Time
 	for scanner.Scan() {
 		before, object, has := strings.Cut(scanner.Text(), "{")
