--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -32,8 +32,8 @@
 	Why     string    `json:"reread_why"`
 }
 
-// names are parts of a cause that differ from request to request: addresses and instances.
-var names = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+|\bi-[0-9a-f]+\b`)
+// perRequestNames are parts of a cause that differ from request to request: addresses and instances.
+var perRequestNames = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+|\bi-[0-9a-f]+\b`)
 
 // Lines is what the lines of a log tell.
 type Lines struct {
@@ -96,7 +96,7 @@
 	case l.Msg == events.RequestAnswered && l.Late:
 		return Event{Outcome: Late, Mechanism: "answered after the objective"}, true
 	case l.Msg == events.AttemptFailed:
-		return Event{Outcome: AttemptFailed, Mechanism: l.Result + ", " + names.ReplaceAllString(l.Cause, "*")}, true
+		return Event{Outcome: AttemptFailed, Mechanism: l.Result + ", " + perRequestNames.ReplaceAllString(l.Cause, "*")}, true
 	}
 	return Event{}, false
 }
