--- a/cmd/kitelab/account.go
+++ b/cmd/kitelab/account.go
@@ -75,7 +75,7 @@
 	}
 	defer file.Close()
 	lines, err := account.ReadLines(file)
-	return append(days, account.Day{Name: f.log, Lines: lines}), err
+	return append(days, account.Day{Name: f.log, LogSummary: lines}), err
 }
 
 func reportsIn(folder string) ([]account.Day, error) {
--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -15,7 +15,7 @@
 	Name   string
 	Worth  float64 // what was earned of what was owed, less prices; of the reports only
 	Losses []Loss
-	Lines
+	LogSummary
 	// RecomputedTokens is how many tokens of shared parts were read again, by the report; 0 without one.
 	RecomputedTokens float64
 }
--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -32,7 +32,7 @@
 	if err != nil || found.Broken != 1 {
 		t.Fatalf("%d broken lines, error %v", found.Broken, err)
 	}
-	days := []Day{{Name: "d", Worth: 0.5, Lines: found, RecomputedTokens: 8000, Losses: []Loss{{"part a", 0.2}, {"price of b", 0.3}}}}
+	days := []Day{{Name: "d", Worth: 0.5, LogSummary: found, RecomputedTokens: 8000, Losses: []Loss{{"part a", 0.2}, {"price of b", 0.3}}}}
 	var out bytes.Buffer
 	Print(&out, days, 2*time.Second)
 	PrintPairs(&out, CompareDays([]Day{{Name: "d", Worth: 0.25}, {Name: "gone", Worth: 1}}, days))
@@ -56,7 +56,7 @@
 // TestPlotIsDrawn: also of a day without events.
 func TestPlotIsDrawn(t *testing.T) {
 	found, _ := ReadLines(strings.NewReader(log))
-	for name, days := range map[string][]Day{"some.svg": {{Lines: found}}, "none.svg": {{}}} {
+	for name, days := range map[string][]Day{"some.svg": {{LogSummary: found}}, "none.svg": {{}}} {
 		file := filepath.Join(t.TempDir(), name)
 		if err := Plot(file, days, time.Second); err != nil {
 			t.Fatal(err)
--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -35,8 +35,8 @@
 // perRequestNames are parts of a cause that differ from request to request: addresses and instances.
 var perRequestNames = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+|\bi-[0-9a-f]+\b`)
 
-// Lines is what the lines of a log tell.
-type Lines struct {
+// LogSummary is what the lines of a log tell.
+type LogSummary struct {
 	Events     []Event
 	Recomputes []Recompute
 	Broken     int // objects that can't be read: cut short, or of something else
@@ -44,7 +44,7 @@
 
 // ReadLines reads a day's log. Each line is an object as the processes write it, behind a time in seconds and
 // a process's name where the log was gathered from several. Other lines are passed over.
-func ReadLines(from io.Reader) (found Lines, err error) {
+func ReadLines(from io.Reader) (found LogSummary, err error) {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var first time.Time
