--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -44,7 +44,7 @@
 
 // ReadLines reads a day's log. Each line is an object as the processes write it, behind a time in seconds and
 // a process's name where the log was gathered from several. Other lines are passed over.
-func ReadLines(from io.Reader) (found LogSummary, err error) {
+func ReadLines(from io.Reader) (summary LogSummary, err error) {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var first time.Time
@@ -55,7 +55,7 @@
 		}
 		var line logLine
 		if json.Unmarshal([]byte("{"+object), &line) != nil {
-			found.Broken++
+			summary.Broken++
 			continue
 		}
 		if first.IsZero() {
@@ -66,14 +66,14 @@
 			at = seconds
 		}
 		if line.Reread > 0 && line.Msg == events.RequestAnswered {
-			found.Recomputes = append(found.Recomputes, Recompute{At: at, Route: line.Route, Cause: line.Why, Tokens: line.Reread})
+			summary.Recomputes = append(summary.Recomputes, Recompute{At: at, Route: line.Route, Cause: line.Why, Tokens: line.Reread})
 		}
 		if event, counts := line.event(); counts {
 			event.At, event.Line = at, scanner.Text()
-			found.Events = append(found.Events, event)
+			summary.Events = append(summary.Events, event)
 		}
 	}
-	return found, eris.Wrap(scanner.Err(), "read log")
+	return summary, eris.Wrap(scanner.Err(), "read log")
 }
 
 // leadingSeconds reads the time in front of a gathered line.
