--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -44,8 +44,8 @@
 
 // ReadLines reads a day's log. Each line is an object as the processes write it, behind a time in seconds and
 // a process's name where the log was gathered from several. Other lines are passed over.
-func ReadLines(from io.Reader) (summary LogSummary, err error) {
-	scanner := bufio.NewScanner(from)
+func ReadLines(r io.Reader) (summary LogSummary, err error) {
+	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var first time.Time
 	for scanner.Scan() {
