--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -49,7 +49,7 @@
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var first time.Time
 	for scanner.Scan() {
-		before, object, has := strings.Cut(scanner.Text(), "{")
+		prefix, object, has := strings.Cut(scanner.Text(), "{")
 		if !has {
 			continue
 		}
@@ -62,7 +62,7 @@
 			first = line.Time
 		}
 		at := line.Time.Sub(first)
-		if seconds, told := leadingSeconds(before); told {
+		if seconds, told := leadingSeconds(prefix); told {
 			at = seconds
 		}
 		if line.Reread > 0 && line.Msg == events.RequestAnswered {
