--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -49,8 +49,8 @@
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var first time.Time
 	for scanner.Scan() {
-		prefix, object, has := strings.Cut(scanner.Text(), "{")
-		if !has {
+		prefix, object, found := strings.Cut(scanner.Text(), "{")
+		if !found {
 			continue
 		}
 		var line logLine
