--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -62,7 +62,7 @@
 			first = line.Time
 		}
 		at := line.Time.Sub(first)
-		if seconds, told := leadingSeconds(prefix); told {
+		if seconds, ok := leadingSeconds(prefix); ok {
 			at = seconds
 		}
 		if line.Reread > 0 && line.Msg == events.RequestAnswered {
