--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -68,7 +68,7 @@
 		if line.Reread > 0 && line.Msg == events.RequestAnswered {
 			summary.Recomputes = append(summary.Recomputes, Recompute{At: at, Route: line.Route, Cause: line.Why, Tokens: line.Reread})
 		}
-		if event, counts := line.event(); counts {
+		if event, lost := line.event(); lost {
 			event.At, event.Line = at, scanner.Text()
 			summary.Events = append(summary.Events, event)
 		}
