--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -77,8 +77,8 @@
 }
 
 // leadingSeconds reads the time in front of a gathered line.
-func leadingSeconds(before string) (time.Duration, bool) {
-	fields := strings.Fields(before)
+func leadingSeconds(prefix string) (time.Duration, bool) {
+	fields := strings.Fields(prefix)
 	if len(fields) == 0 {
 		return 0, false
 	}
