--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	plotWidth  = 22 * vg.Centimeter
-	plotHeight = 11 * vg.Centimeter
-	longLine   = 160 // of an example in a table
+	plotWidth        = 22 * vg.Centimeter
+	plotHeight       = 11 * vg.Centimeter
+	maxExampleLength = 160 // of an example in a table
 )
 
 // outcomes in the order of tables and plots.
@@ -33,7 +33,7 @@
 	if mechanisms := ByMechanism(days); len(mechanisms) > 0 {
 		fmt.Fprintf(w, "\n| requests | a day | share | the first line that shows it |\n|---|---|---|---|\n")
 		for _, r := range mechanisms {
-			fmt.Fprintf(w, "| %s | %.1f | %.1f%% | `%.*s` |\n", r.Name, r.Value, 100*r.Share, longLine, strings.TrimSpace(r.Line))
+			fmt.Fprintf(w, "| %s | %.1f | %.1f%% | `%.*s` |\n", r.Name, r.Value, 100*r.Share, maxExampleLength, strings.TrimSpace(r.Line))
 		}
 	}
 	printReads(w, days, span)
