--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -36,7 +36,7 @@
 			fmt.Fprintf(w, "| %s | %.1f | %.1f%% | `%.*s` |\n", r.Name, r.Value, 100*r.Share, maxExampleLength, strings.TrimSpace(r.Line))
 		}
 	}
-	printReads(w, days, span)
+	printRecomputes(w, days, span)
 	for _, d := range days {
 		if d.Broken > 0 {
 			fmt.Fprintf(w, "\n%d lines of %s can't be read: cut short, or of something else\n", d.Broken, d.Name)
@@ -56,8 +56,8 @@
 	}
 }
 
-// printReads writes the tables of shared parts that were read again.
-func printReads(w io.Writer, days []Day, span time.Duration) {
+// printRecomputes writes the tables of shared parts that were read again.
+func printRecomputes(w io.Writer, days []Day, span time.Duration) {
 	causes := RecomputedTokensBy(days, func(r Recompute) string { return r.Cause })
 	told, known := 0.0, 0.0
 	for _, d := range days {
