--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -59,13 +59,13 @@
 // printRecomputes writes the tables of shared parts that were read again.
 func printRecomputes(w io.Writer, days []Day, span time.Duration) {
 	causes := RecomputedTokensBy(days, func(r Recompute) string { return r.Cause })
-	told, known := 0.0, 0.0
+	reported, known := 0.0, 0.0
 	for _, d := range days {
-		told += d.RecomputedTokens / float64(len(days))
+		reported += d.RecomputedTokens / float64(len(days))
 	}
 	if len(causes) == 0 {
-		if told > 0 {
-			fmt.Fprintf(w, "\n%.0f tokens a day of shared parts were read again, by the reports; no line tells why: there are none, or of an earlier build\n", told)
+		if reported > 0 {
+			fmt.Fprintf(w, "\n%.0f tokens a day of shared parts were read again, by the reports; no line tells why: there are none, or of an earlier build\n", reported)
 		}
 		return
 	}
@@ -73,8 +73,8 @@
 		known += r.Value
 	}
 	fmt.Fprintf(w, "\n%.0f tokens a day of shared parts were expected to be read again", known)
-	if told > 0 {
-		fmt.Fprintf(w, "; %.0f were, by the reports, so that %.0f in 100 have a cause", told, 100*min(1, known/told))
+	if reported > 0 {
+		fmt.Fprintf(w, "; %.0f were, by the reports, so that %.0f in 100 have a cause", reported, 100*min(1, known/reported))
 	}
 	fmt.Fprintln(w)
 	for _, table := range []struct {
