--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -59,7 +59,7 @@
 // printRecomputes writes the tables of shared parts that were read again.
 func printRecomputes(w io.Writer, days []Day, span time.Duration) {
 	causes := RecomputedTokensBy(days, func(r Recompute) string { return r.Cause })
-	reported, known := 0.0, 0.0
+	reported, explained := 0.0, 0.0
 	for _, d := range days {
 		reported += d.RecomputedTokens / float64(len(days))
 	}
@@ -70,11 +70,11 @@
 		return
 	}
 	for _, r := range causes {
-		known += r.Value
+		explained += r.Value
 	}
-	fmt.Fprintf(w, "\n%.0f tokens a day of shared parts were expected to be read again", known)
+	fmt.Fprintf(w, "\n%.0f tokens a day of shared parts were expected to be read again", explained)
 	if reported > 0 {
-		fmt.Fprintf(w, "; %.0f were, by the reports, so that %.0f in 100 have a cause", reported, 100*min(1, known/reported))
+		fmt.Fprintf(w, "; %.0f were, by the reports, so that %.0f in 100 have a cause", reported, 100*min(1, explained/reported))
 	}
 	fmt.Fprintln(w)
 	for _, table := range []struct {
