--- a/cmd/kitelab/account.go
+++ b/cmd/kitelab/account.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			return err
 		}
-		account.PrintPairs(os.Stdout, account.CompareDays(before, days))
+		account.PrintComparisons(os.Stdout, account.CompareDays(before, days))
 	}
 	if f.plot == "" {
 		return nil
--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -35,7 +35,7 @@
 	days := []Day{{Name: "d", Worth: 0.5, LogSummary: found, RecomputedTokens: 8000, Losses: []Loss{{"part a", 0.2}, {"price of b", 0.3}}}}
 	var out bytes.Buffer
 	Print(&out, days, 2*time.Second)
-	PrintPairs(&out, CompareDays([]Day{{Name: "d", Worth: 0.25}, {Name: "gone", Worth: 1}}, days))
+	PrintComparisons(&out, CompareDays([]Day{{Name: "d", Worth: 0.25}, {Name: "gone", Worth: 1}}, days))
 	goldie.New(t).Assert(t, "tables", out.Bytes())
 }
 
--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// PrintPairs writes what changed from one state of the code to another, day by day.
-func PrintPairs(w io.Writer, pairs []DayComparison) {
+// PrintComparisons writes what changed from one state of the code to another, day by day.
+func PrintComparisons(w io.Writer, pairs []DayComparison) {
 	fmt.Fprintf(w, "\n| day | before | after | difference |\n|---|---|---|---|\n")
 	sum := 0.0
 	for _, p := range pairs {
