--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -93,15 +93,15 @@
 }
 
 // PrintComparisons writes what changed from one state of the code to another, day by day.
-func PrintComparisons(w io.Writer, pairs []DayComparison) {
+func PrintComparisons(w io.Writer, comparisons []DayComparison) {
 	fmt.Fprintf(w, "\n| day | before | after | difference |\n|---|---|---|---|\n")
 	sum := 0.0
-	for _, p := range pairs {
+	for _, p := range comparisons {
 		sum += p.After - p.Before
 		fmt.Fprintf(w, "| %s | %.4f | %.4f | %+.4f |\n", p.Name, p.Before, p.After, p.After-p.Before)
 	}
-	if len(pairs) > 0 {
-		fmt.Fprintf(w, "| mean of %d | | | %+.4f |\n", len(pairs), sum/float64(len(pairs)))
+	if len(comparisons) > 0 {
+		fmt.Fprintf(w, "| mean of %d | | | %+.4f |\n", len(comparisons), sum/float64(len(comparisons)))
 	}
 }
 
