--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -42,12 +42,12 @@
 			fmt.Fprintf(w, "\n%d lines of %s can't be read: cut short, or of something else\n", d.Broken, d.Name)
 		}
 	}
-	moments := ByInterval(days, span)
-	if len(moments) == 0 {
+	intervals := ByInterval(days, span)
+	if len(intervals) == 0 {
 		return
 	}
 	fmt.Fprintf(w, "\n| from second | refused | failed | late | attempts failed |\n|---|---|---|---|---|\n")
-	for _, m := range moments {
+	for _, m := range intervals {
 		fmt.Fprintf(w, "| %g |", m.Start.Seconds())
 		for _, o := range outcomes {
 			fmt.Fprintf(w, " %.1f |", m.Counts[o])
