--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -23,7 +23,7 @@
 var outcomes = []Outcome{Rejected, Failed, Late, AttemptFailed}
 
 // Print writes the tables of a set of days.
-func Print(w io.Writer, days []Day, span time.Duration) {
+func Print(w io.Writer, days []Day, length time.Duration) {
 	if causes := ByCause(days); len(causes) > 0 {
 		fmt.Fprintf(w, "| worth lost to | a day | share |\n|---|---|---|\n")
 		for _, r := range causes {
@@ -36,13 +36,13 @@
 			fmt.Fprintf(w, "| %s | %.1f | %.1f%% | `%.*s` |\n", r.Name, r.Value, 100*r.Share, maxExampleLength, strings.TrimSpace(r.Line))
 		}
 	}
-	printRecomputes(w, days, span)
+	printRecomputes(w, days, length)
 	for _, d := range days {
 		if d.Broken > 0 {
 			fmt.Fprintf(w, "\n%d lines of %s can't be read: cut short, or of something else\n", d.Broken, d.Name)
 		}
 	}
-	intervals := ByInterval(days, span)
+	intervals := ByInterval(days, length)
 	if len(intervals) == 0 {
 		return
 	}
