--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -57,7 +57,7 @@
 }
 
 // printRecomputes writes the tables of shared parts that were read again.
-func printRecomputes(w io.Writer, days []Day, span time.Duration) {
+func printRecomputes(w io.Writer, days []Day, length time.Duration) {
 	causes := RecomputedTokensBy(days, func(r Recompute) string { return r.Cause })
 	reported, explained := 0.0, 0.0
 	for _, d := range days {
@@ -83,7 +83,7 @@
 	}{
 		{"cause", func(r Recompute) string { return r.Cause }},
 		{"route", func(r Recompute) string { return r.Route }},
-		{"from second, cause", func(r Recompute) string { return fmt.Sprintf("%4g, %s", r.At.Truncate(span).Seconds(), r.Cause) }},
+		{"from second, cause", func(r Recompute) string { return fmt.Sprintf("%4g, %s", r.At.Truncate(length).Seconds(), r.Cause) }},
 	} {
 		fmt.Fprintf(w, "\n| %s | tokens a day | share |\n|---|---|---|\n", table.name)
 		for _, r := range RecomputedTokensBy(days, table.key) {
