--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -111,10 +111,10 @@
 	p.Title.Text = "requests lost, a day"
 	p.X.Label.Text, p.Y.Label.Text = "second", "requests in "+span.String()
 	p.Legend.Top = true
-	moments := ByInterval(days, span)
+	intervals := ByInterval(days, span)
 	for i, o := range outcomes {
 		var points plotter.XYs
-		for _, m := range moments {
+		for _, m := range intervals {
 			points = append(points, plotter.XY{X: m.Start.Seconds(), Y: m.Counts[o]})
 		}
 		if len(points) == 0 {
