--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -106,12 +106,12 @@
 }
 
 // Plot draws the lost requests over the day to a file, whose ending names the format.
-func Plot(file string, days []Day, span time.Duration) error {
+func Plot(file string, days []Day, length time.Duration) error {
 	p := plot.New()
 	p.Title.Text = "requests lost, a day"
-	p.X.Label.Text, p.Y.Label.Text = "second", "requests in "+span.String()
+	p.X.Label.Text, p.Y.Label.Text = "second", "requests in "+length.String()
 	p.Legend.Top = true
-	intervals := ByInterval(days, span)
+	intervals := ByInterval(days, length)
 	for i, o := range outcomes {
 		var points plotter.XYs
 		for _, m := range intervals {
