--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -11,8 +11,8 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// log is gathered from two processes; the second half is as one process writes it.
-const log = `  -0.5000 g1 {"level":"info","time":"2026-01-01T00:00:00Z","msg":"gateway started"}
+// sampleLog is gathered from two processes; the second half is as one process writes it.
+const sampleLog = `  -0.5000 g1 {"level":"info","time":"2026-01-01T00:00:00Z","msg":"gateway started"}
    1.2500 g1 {"level":"info","time":"2026-01-01T00:00:01.75Z","msg":"request refused","request":"a","status":503,"reason":"no-backend"}
    1.9000 g2 {"level":"info","time":"2026-01-01T00:00:02.4Z","msg":"attempt failed","request":"b","result":"unreached","cause":"dial tcp 10.1.0.2:80: i/o timeout"}
    3.0000 g2 {"level":"info","time":"2026-01-01T00:00:03.5Z","msg":"attempt failed","request":"c","result":"unreached","cause":"dial tcp 10.1.0.9:81: i/o timeout"}
@@ -28,7 +28,7 @@
 
 // TestLinesBecomeEvents: what was served in time is left out, causes lose their addresses, broken lines are counted.
 func TestLinesBecomeEvents(t *testing.T) {
-	found, err := ReadLines(strings.NewReader(log))
+	found, err := ReadLines(strings.NewReader(sampleLog))
 	if err != nil || found.Broken != 1 {
 		t.Fatalf("%d broken lines, error %v", found.Broken, err)
 	}
@@ -42,7 +42,7 @@
 // TestLinesOfOneProcessCountFromTheFirst: there is no time in front of them.
 func TestLinesOfOneProcessCountFromTheFirst(t *testing.T) {
 	alone := ""
-	for line := range strings.SplitSeq(log, "\n") {
+	for line := range strings.SplitSeq(sampleLog, "\n") {
 		if at := strings.Index(line, "{"); at >= 0 {
 			alone += line[at:] + "\n"
 		}
@@ -55,7 +55,7 @@
 
 // TestPlotIsDrawn: also of a day without events.
 func TestPlotIsDrawn(t *testing.T) {
-	found, _ := ReadLines(strings.NewReader(log))
+	found, _ := ReadLines(strings.NewReader(sampleLog))
 	for name, days := range map[string][]Day{"some.svg": {{LogSummary: found}}, "none.svg": {{}}} {
 		file := filepath.Join(t.TempDir(), name)
 		if err := Plot(file, days, time.Second); err != nil {
