--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -41,13 +41,13 @@
 
 // TestLinesOfOneProcessCountFromTheFirst: there is no time in front of them.
 func TestLinesOfOneProcessCountFromTheFirst(t *testing.T) {
-	alone := ""
+	singleProcessLog := ""
 	for line := range strings.SplitSeq(sampleLog, "\n") {
 		if at := strings.Index(line, "{"); at >= 0 {
-			alone += line[at:] + "\n"
+			singleProcessLog += line[at:] + "\n"
 		}
 	}
-	lines, err := ReadLines(strings.NewReader(alone))
+	lines, err := ReadLines(strings.NewReader(singleProcessLog))
 	if found := lines.Events; err != nil || len(found) == 0 || found[0].At != 1750*time.Millisecond {
 		t.Fatalf("events %+v, error %v", lines.Events, err)
 	}
