--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -28,11 +28,11 @@
 
 // TestLinesBecomeEvents: what was served in time is left out, causes lose their addresses, broken lines are counted.
 func TestLinesBecomeEvents(t *testing.T) {
-	found, err := ReadLines(strings.NewReader(sampleLog))
-	if err != nil || found.Broken != 1 {
-		t.Fatalf("%d broken lines, error %v", found.Broken, err)
+	summary, err := ReadLines(strings.NewReader(sampleLog))
+	if err != nil || summary.Broken != 1 {
+		t.Fatalf("%d broken lines, error %v", summary.Broken, err)
 	}
-	days := []Day{{Name: "d", Worth: 0.5, LogSummary: found, RecomputedTokens: 8000, Losses: []Loss{{"part a", 0.2}, {"price of b", 0.3}}}}
+	days := []Day{{Name: "d", Worth: 0.5, LogSummary: summary, RecomputedTokens: 8000, Losses: []Loss{{"part a", 0.2}, {"price of b", 0.3}}}}
 	var out bytes.Buffer
 	Print(&out, days, 2*time.Second)
 	PrintComparisons(&out, CompareDays([]Day{{Name: "d", Worth: 0.25}, {Name: "gone", Worth: 1}}, days))
