--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -55,8 +55,8 @@
 
 // TestPlotIsDrawn: also of a day without events.
 func TestPlotIsDrawn(t *testing.T) {
-	found, _ := ReadLines(strings.NewReader(sampleLog))
-	for name, days := range map[string][]Day{"some.svg": {{LogSummary: found}}, "none.svg": {{}}} {
+	summary, _ := ReadLines(strings.NewReader(sampleLog))
+	for name, days := range map[string][]Day{"some.svg": {{LogSummary: summary}}, "none.svg": {{}}} {
 		file := filepath.Join(t.TempDir(), name)
 		if err := Plot(file, days, time.Second); err != nil {
 			t.Fatal(err)
