--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	lines, err := ReadLines(strings.NewReader(singleProcessLog))
-	if found := lines.Events; err != nil || len(found) == 0 || found[0].At != 1750*time.Millisecond {
+	if events := lines.Events; err != nil || len(events) == 0 || events[0].At != 1750*time.Millisecond {
 		t.Fatalf("events %+v, error %v", lines.Events, err)
 	}
 }
