--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -26,8 +26,8 @@
 no object at all
 `
 
-// TestLinesBecomeEvents: what was served in time is left out, causes lose their addresses, broken lines are counted.
-func TestLinesBecomeEvents(t *testing.T) {
+// TestReadLinesExtractsLossesAndRecomputes: what was served in time is left out, causes lose their addresses, broken lines are counted.
+func TestReadLinesExtractsLossesAndRecomputes(t *testing.T) {
 	summary, err := ReadLines(strings.NewReader(sampleLog))
 	if err != nil || summary.Broken != 1 {
 		t.Fatalf("%d broken lines, error %v", summary.Broken, err)
