--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -39,8 +39,8 @@
 	goldie.New(t).Assert(t, "tables", out.Bytes())
 }
 
-// TestLinesOfOneProcessCountFromTheFirst: there is no time in front of them.
-func TestLinesOfOneProcessCountFromTheFirst(t *testing.T) {
+// TestTimesOfSingleProcessLogAreRelativeToFirstLine: there is no time in front of them.
+func TestTimesOfSingleProcessLogAreRelativeToFirstLine(t *testing.T) {
 	singleProcessLog := ""
 	for line := range strings.SplitSeq(sampleLog, "\n") {
 		if at := strings.Index(line, "{"); at >= 0 {
