--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestPlotIsDrawn: also of a day without events.
-func TestPlotIsDrawn(t *testing.T) {
+// TestPlotWritesFile: also of a day without events.
+func TestPlotWritesFile(t *testing.T) {
 	summary, _ := ReadLines(strings.NewReader(sampleLog))
 	for name, days := range map[string][]Day{"some.svg": {{LogSummary: summary}}, "none.svg": {{}}} {
 		file := filepath.Join(t.TempDir(), name)
