--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -24,7 +24,7 @@
 const (
 	loopback         = "127.0.0.1"
 	minPort          = 20000
-	highestPort      = 30000 // below the ephemeral ports that the kernel hands to clients
+	maxPort          = 30000 // below the ephemeral ports that the kernel hands to clients
 	portTries        = 200
 	controlCount     = 3
 	filePermissions  = 0o600
@@ -92,7 +92,7 @@
 // freePorts finds a run of ports that nothing listens on.
 func freePorts(count int) (int, error) {
 	for range portTries {
-		base := minPort + mathrand.IntN(highestPort-minPort-count)
+		base := minPort + mathrand.IntN(maxPort-minPort-count)
 		if allFree(base, count) {
 			return base, nil
 		}
