--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -25,7 +25,7 @@
 	loopback         = "127.0.0.1"
 	minPort          = 20000
 	maxPort          = 30000 // below the ephemeral ports that the kernel hands to clients
-	portTries        = 200
+	maxPortAttempts  = 200
 	controlCount     = 3
 	filePermissions  = 0o600
 	folderPermission = 0o755
@@ -91,7 +91,7 @@
 
 // freePorts finds a run of ports that nothing listens on.
 func freePorts(count int) (int, error) {
-	for range portTries {
+	for range maxPortAttempts {
 		base := minPort + mathrand.IntN(maxPort-minPort-count)
 		if allFree(base, count) {
 			return base, nil
