--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	loopback         = "127.0.0.1"
-	minPort          = 20000
-	maxPort          = 30000 // below the ephemeral ports that the kernel hands to clients
-	maxPortAttempts  = 200
-	controlCount     = 3
-	filePermissions  = 0o600
-	folderPermission = 0o755
+	loopback             = "127.0.0.1"
+	minPort              = 20000
+	maxPort              = 30000 // below the ephemeral ports that the kernel hands to clients
+	maxPortAttempts      = 200
+	controlCount         = 3
+	filePermissions      = 0o600
+	directoryPermissions = 0o755
 )
 
 // Process is one process of the fleet.
@@ -122,7 +122,7 @@
 func (l *Layout) zone(number int) string { return l.deployment.Zones[number%len(l.deployment.Zones)] }
 
 func (l *Layout) build() error {
-	if err := os.MkdirAll(l.data, folderPermission); err != nil {
+	if err := os.MkdirAll(l.data, directoryPermissions); err != nil {
 		return eris.Wrap(err, "create data folder")
 	}
 	l.addStores()
