--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -41,25 +41,25 @@
 
 // Layout is a deployment laid out on this machine.
 type Layout struct {
-	Routers     []string
-	Control     []string // admin addresses
-	Backends    []string // small services
-	Platform    string
-	Keys        []string // an API key of each tenant, in the deployment's order
-	AdminToken  string
-	Processes   []Process
-	deployment  *plan.Deployment
-	file        string
-	data        string
-	nextPort    int
-	links       transport.LinkFile
-	machines    []core.Machine
-	internal    []string
-	vault       string
-	weights     string
-	clusterKey  string
-	prefixKey   string
-	spareNumber int
+	Routers    []string
+	Control    []string // admin addresses
+	Backends   []string // small services
+	Platform   string
+	Keys       []string // an API key of each tenant, in the deployment's order
+	AdminToken string
+	Processes  []Process
+	deployment *plan.Deployment
+	file       string
+	data       string
+	nextPort   int
+	links      transport.LinkFile
+	machines   []core.Machine
+	internal   []string
+	vault      string
+	weights    string
+	clusterKey string
+	prefixKey  string
+	spareCount int
 }
 
 // Create lays a deployment file out under a data folder.
@@ -74,7 +74,7 @@
 	}
 	layout := &Layout{
 		deployment: deployment, file: file, data: absolute, AdminToken: secret(16), clusterKey: secret(16), prefixKey: secret(32),
-		links: transport.LinkFile{Zones: map[string]string{}, LatencyMS: deployment.ZoneLatency.Seconds() * 1000}, spareNumber: spares,
+		links: transport.LinkFile{Zones: map[string]string{}, LatencyMS: deployment.ZoneLatency.Seconds() * 1000}, spareCount: spares,
 	}
 	count := 2*(controlCount+spares) + 2*len(deployment.Zones) + deployment.Model.Workers + deployment.Small.Workers + 4
 	if layout.nextPort, err = freePorts(count); err != nil {
@@ -173,7 +173,7 @@
 }
 
 func (l *Layout) addControl() error {
-	total := controlCount + l.spareNumber
+	total := controlCount + l.spareCount
 	var admin []string
 	for i := range total {
 		l.internal = append(l.internal, l.address(l.zone(i)))
