--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -50,7 +50,7 @@
 	Processes  []Process
 	deployment *plan.Deployment
 	file       string
-	data       string
+	dataDir    string
 	nextPort   int
 	links      transport.LinkFile
 	machines   []core.Machine
@@ -73,7 +73,7 @@
 		return nil, eris.Wrap(err, "resolve data folder")
 	}
 	layout := &Layout{
-		deployment: deployment, file: file, data: absolute, AdminToken: secret(16), clusterKey: secret(16), prefixKey: secret(32),
+		deployment: deployment, file: file, dataDir: absolute, AdminToken: secret(16), clusterKey: secret(16), prefixKey: secret(32),
 		links: transport.LinkFile{Zones: map[string]string{}, LatencyMS: deployment.ZoneLatency.Seconds() * 1000}, spareCount: spares,
 	}
 	count := 2*(controlCount+spares) + 2*len(deployment.Zones) + deployment.Model.Workers + deployment.Small.Workers + 4
@@ -122,7 +122,7 @@
 func (l *Layout) zone(number int) string { return l.deployment.Zones[number%len(l.deployment.Zones)] }
 
 func (l *Layout) build() error {
-	if err := os.MkdirAll(l.data, directoryPermissions); err != nil {
+	if err := os.MkdirAll(l.dataDir, directoryPermissions); err != nil {
 		return eris.Wrap(err, "create data folder")
 	}
 	l.addStores()
@@ -146,7 +146,7 @@
 	l.Processes = append(l.Processes, Process{Name: name, Zone: zone, Binary: binary, Arguments: arguments})
 }
 
-func (l *Layout) path(name string) string { return filepath.Join(l.data, name) }
+func (l *Layout) path(name string) string { return filepath.Join(l.dataDir, name) }
 
 func (l *Layout) addStores() {
 	l.Platform, l.vault, l.weights = l.address(""), l.address(""), l.address("")
