--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -41,25 +41,25 @@
 
 // Layout is a deployment laid out on this machine.
 type Layout struct {
-	Routers    []string
-	Control    []string // admin addresses
-	Backends   []string // small services
-	Platform   string
-	Keys       []string // an API key of each tenant, in the deployment's order
-	AdminToken string
-	Processes  []Process
-	deployment *plan.Deployment
-	file       string
-	dataDir    string
-	nextPort   int
-	links      transport.LinkFile
-	machines   []core.Machine
-	internal   []string
-	vault      string
-	weights    string
-	clusterKey string
-	prefixKey  string
-	spareCount int
+	Routers        []string
+	Control        []string // admin addresses
+	Backends       []string // small services
+	Platform       string
+	Keys           []string // an API key of each tenant, in the deployment's order
+	AdminToken     string
+	Processes      []Process
+	deployment     *plan.Deployment
+	deploymentFile string
+	dataDir        string
+	nextPort       int
+	links          transport.LinkFile
+	machines       []core.Machine
+	internal       []string
+	vault          string
+	weights        string
+	clusterKey     string
+	prefixKey      string
+	spareCount     int
 }
 
 // Create lays a deployment file out under a data folder.
@@ -73,7 +73,7 @@
 		return nil, eris.Wrap(err, "resolve data folder")
 	}
 	layout := &Layout{
-		deployment: deployment, file: file, dataDir: absolute, AdminToken: secret(16), clusterKey: secret(16), prefixKey: secret(32),
+		deployment: deployment, deploymentFile: file, dataDir: absolute, AdminToken: secret(16), clusterKey: secret(16), prefixKey: secret(32),
 		links: transport.LinkFile{Zones: map[string]string{}, LatencyMS: deployment.ZoneLatency.Seconds() * 1000}, spareCount: spares,
 	}
 	count := 2*(controlCount+spares) + 2*len(deployment.Zones) + deployment.Model.Workers + deployment.Small.Workers + 4
@@ -150,9 +150,9 @@
 
 func (l *Layout) addStores() {
 	l.Platform, l.vault, l.weights = l.address(""), l.address(""), l.address("")
-	l.add("platform", "", "kitelab", "platform", "--listen", l.Platform, "--machines", l.path("machines.json"), "--deployment", l.file)
-	l.add(l.deployment.Vault.Name, "", "kitelab", "vault", "--listen", l.vault, "--deployment", l.file)
-	l.add("weights", "", "kitelab", "weights", "--listen", l.weights, "--deployment", l.file)
+	l.add("platform", "", "kitelab", "platform", "--listen", l.Platform, "--machines", l.path("machines.json"), "--deployment", l.deploymentFile)
+	l.add(l.deployment.Vault.Name, "", "kitelab", "vault", "--listen", l.vault, "--deployment", l.deploymentFile)
+	l.add("weights", "", "kitelab", "weights", "--listen", l.weights, "--deployment", l.deploymentFile)
 }
 
 func (l *Layout) addBackends() {
@@ -161,14 +161,14 @@
 		address := l.address(zone)
 		l.machines = append(l.machines, core.Machine{Name: name, Zone: zone, Service: l.deployment.Model.Name, Address: address})
 		l.add(name, zone, "kitelab", "engine", "--name", name, "--zone", zone, "--listen", address,
-			"--weight-store", l.weights, "--deployment", l.file)
+			"--weight-store", l.weights, "--deployment", l.deploymentFile)
 	}
 	for i := range l.deployment.Small.Workers {
 		name, zone := fmt.Sprintf("%s-%d", l.deployment.Small.Name, i+1), l.zone(i)
 		address := l.address(zone)
 		l.Backends = append(l.Backends, address)
 		l.machines = append(l.machines, core.Machine{Name: name, Zone: zone, Service: l.deployment.Small.Name, Address: address})
-		l.add(name, zone, "kitelab", "backend", "--name", name, "--zone", zone, "--listen", address, "--deployment", l.file)
+		l.add(name, zone, "kitelab", "backend", "--name", name, "--zone", zone, "--listen", address, "--deployment", l.deploymentFile)
 	}
 }
 
@@ -225,9 +225,9 @@
 
 // writeTree writes the deployment's tree with an API key for each tenant.
 func (l *Layout) writeTree() error {
-	data, err := os.ReadFile(l.file)
+	data, err := os.ReadFile(l.deploymentFile)
 	if err != nil {
-		return eris.Wrapf(err, "read %s", l.file)
+		return eris.Wrapf(err, "read %s", l.deploymentFile)
 	}
 	text := string(data)
 	for _, tenant := range l.deployment.Tenants {
