--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -41,25 +41,25 @@
 
 // Layout is a deployment laid out on this machine.
 type Layout struct {
-	Routers        []string
-	Control        []string // admin addresses
-	Backends       []string // small services
-	Platform       string
-	Keys           []string // an API key of each tenant, in the deployment's order
-	AdminToken     string
-	Processes      []Process
-	deployment     *plan.Deployment
-	deploymentFile string
-	dataDir        string
-	nextPort       int
-	links          transport.LinkFile
-	machines       []core.Machine
-	internal       []string
-	vault          string
-	weights        string
-	clusterKey     string
-	prefixKey      string
-	spareCount     int
+	Routers         []string
+	Control         []string // admin addresses
+	Backends        []string // small services
+	Platform        string
+	Keys            []string // an API key of each tenant, in the deployment's order
+	AdminToken      string
+	Processes       []Process
+	deployment      *plan.Deployment
+	deploymentFile  string
+	dataDir         string
+	nextPort        int
+	links           transport.LinkFile
+	machines        []core.Machine
+	controlInternal []string
+	vault           string
+	weights         string
+	clusterKey      string
+	prefixKey       string
+	spareCount      int
 }
 
 // Create lays a deployment file out under a data folder.
@@ -176,13 +176,13 @@
 	total := controlCount + l.spareCount
 	var admin []string
 	for i := range total {
-		l.internal = append(l.internal, l.address(l.zone(i)))
+		l.controlInternal = append(l.controlInternal, l.address(l.zone(i)))
 		admin = append(admin, l.address(l.zone(i)))
 	}
 	for i := range total {
 		name, zone := fmt.Sprintf("control-%d", i+1), l.zone(i)
 		text := l.nodeHeader(name, zone) + fmt.Sprintf("control:\n  internal: %s\n  admin: %s\n  founders: [%s]\n  platform: %s\n  repair_after: 5s\n",
-			l.internal[i], admin[i], strings.Join(l.internal[:controlCount], ", "), l.Platform)
+			l.controlInternal[i], admin[i], strings.Join(l.controlInternal[:controlCount], ", "), l.Platform)
 		if err := l.addNode(name, zone, "control", text); err != nil {
 			return err
 		}
@@ -196,7 +196,7 @@
 		name, listen := fmt.Sprintf("router-%d", i+1), l.address(zone)
 		l.Routers = append(l.Routers, listen)
 		text := l.nodeHeader(name, zone) + fmt.Sprintf("router:\n  listen: %s\n  internal: %s\n  control: [%s]\n  platform: %s\n  vault: %s\n  prefix_key: %s\n  import_tokens_per_s: %.0f\n  zone_latency:\n",
-			listen, l.address(zone), strings.Join(l.internal[:controlCount], ", "), l.Platform, l.vault, l.prefixKey, l.deployment.Rates().ImportTokens)
+			listen, l.address(zone), strings.Join(l.controlInternal[:controlCount], ", "), l.Platform, l.vault, l.prefixKey, l.deployment.Rates().ImportTokens)
 		for _, other := range l.deployment.Zones {
 			if other != zone {
 				text += fmt.Sprintf("    %s: %s\n", other, l.deployment.ZoneLatency)
