--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -55,7 +55,7 @@
 	links           transport.LinkFile
 	machines        []core.Machine
 	controlInternal []string
-	vault           string
+	vaultAddress    string
 	weights         string
 	clusterKey      string
 	prefixKey       string
@@ -149,9 +149,9 @@
 func (l *Layout) path(name string) string { return filepath.Join(l.dataDir, name) }
 
 func (l *Layout) addStores() {
-	l.Platform, l.vault, l.weights = l.address(""), l.address(""), l.address("")
+	l.Platform, l.vaultAddress, l.weights = l.address(""), l.address(""), l.address("")
 	l.add("platform", "", "kitelab", "platform", "--listen", l.Platform, "--machines", l.path("machines.json"), "--deployment", l.deploymentFile)
-	l.add(l.deployment.Vault.Name, "", "kitelab", "vault", "--listen", l.vault, "--deployment", l.deploymentFile)
+	l.add(l.deployment.Vault.Name, "", "kitelab", "vault", "--listen", l.vaultAddress, "--deployment", l.deploymentFile)
 	l.add("weights", "", "kitelab", "weights", "--listen", l.weights, "--deployment", l.deploymentFile)
 }
 
@@ -196,7 +196,7 @@
 		name, listen := fmt.Sprintf("router-%d", i+1), l.address(zone)
 		l.Routers = append(l.Routers, listen)
 		text := l.nodeHeader(name, zone) + fmt.Sprintf("router:\n  listen: %s\n  internal: %s\n  control: [%s]\n  platform: %s\n  vault: %s\n  prefix_key: %s\n  import_tokens_per_s: %.0f\n  zone_latency:\n",
-			listen, l.address(zone), strings.Join(l.controlInternal[:controlCount], ", "), l.Platform, l.vault, l.prefixKey, l.deployment.Rates().ImportTokens)
+			listen, l.address(zone), strings.Join(l.controlInternal[:controlCount], ", "), l.Platform, l.vaultAddress, l.prefixKey, l.deployment.Rates().ImportTokens)
 		for _, other := range l.deployment.Zones {
 			if other != zone {
 				text += fmt.Sprintf("    %s: %s\n", other, l.deployment.ZoneLatency)
