--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -56,7 +56,7 @@
 	machines        []core.Machine
 	controlInternal []string
 	vaultAddress    string
-	weights         string
+	weightsAddress  string
 	clusterKey      string
 	prefixKey       string
 	spareCount      int
@@ -149,10 +149,10 @@
 func (l *Layout) path(name string) string { return filepath.Join(l.dataDir, name) }
 
 func (l *Layout) addStores() {
-	l.Platform, l.vaultAddress, l.weights = l.address(""), l.address(""), l.address("")
+	l.Platform, l.vaultAddress, l.weightsAddress = l.address(""), l.address(""), l.address("")
 	l.add("platform", "", "kitelab", "platform", "--listen", l.Platform, "--machines", l.path("machines.json"), "--deployment", l.deploymentFile)
 	l.add(l.deployment.Vault.Name, "", "kitelab", "vault", "--listen", l.vaultAddress, "--deployment", l.deploymentFile)
-	l.add("weights", "", "kitelab", "weights", "--listen", l.weights, "--deployment", l.deploymentFile)
+	l.add("weights", "", "kitelab", "weights", "--listen", l.weightsAddress, "--deployment", l.deploymentFile)
 }
 
 func (l *Layout) addBackends() {
@@ -161,7 +161,7 @@
 		address := l.address(zone)
 		l.machines = append(l.machines, core.Machine{Name: name, Zone: zone, Service: l.deployment.Model.Name, Address: address})
 		l.add(name, zone, "kitelab", "engine", "--name", name, "--zone", zone, "--listen", address,
-			"--weight-store", l.weights, "--deployment", l.deploymentFile)
+			"--weight-store", l.weightsAddress, "--deployment", l.deploymentFile)
 	}
 	for i := range l.deployment.Small.Workers {
 		name, zone := fmt.Sprintf("%s-%d", l.deployment.Small.Name, i+1), l.zone(i)
