--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -57,7 +57,7 @@
 	controlInternal []string
 	vaultAddress    string
 	weightsAddress  string
-	clusterKey      string
+	clusterToken    string
 	prefixKey       string
 	spareCount      int
 }
@@ -73,7 +73,7 @@
 		return nil, eris.Wrap(err, "resolve data folder")
 	}
 	layout := &Layout{
-		deployment: deployment, deploymentFile: file, dataDir: absolute, AdminToken: secret(16), clusterKey: secret(16), prefixKey: secret(32),
+		deployment: deployment, deploymentFile: file, dataDir: absolute, AdminToken: secret(16), clusterToken: secret(16), prefixKey: secret(32),
 		links: transport.LinkFile{Zones: map[string]string{}, LatencyMS: deployment.ZoneLatency.Seconds() * 1000}, spareCount: spares,
 	}
 	count := 2*(controlCount+spares) + 2*len(deployment.Zones) + deployment.Model.Workers + deployment.Small.Workers + 4
@@ -211,7 +211,7 @@
 
 func (l *Layout) nodeHeader(name, zone string) string {
 	return fmt.Sprintf("name: %s\nzone: %s\ndata: %s\ncluster_token: %s\nadmin_token: %s\nlinks: %s\n",
-		name, zone, l.path(name), l.clusterKey, l.AdminToken, l.path("links.json"))
+		name, zone, l.path(name), l.clusterToken, l.AdminToken, l.path("links.json"))
 }
 
 func (l *Layout) addNode(name, zone, kind, text string) error {
