--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -73,7 +73,7 @@
 		return nil, eris.Wrap(err, "resolve data folder")
 	}
 	layout := &Layout{
-		deployment: deployment, deploymentFile: file, dataDir: absolute, AdminToken: secret(16), clusterToken: secret(16), prefixKey: secret(32),
+		deployment: deployment, deploymentFile: file, dataDir: absolute, AdminToken: randomHex(16), clusterToken: randomHex(16), prefixKey: randomHex(32),
 		links: transport.LinkFile{Zones: map[string]string{}, LatencyMS: deployment.ZoneLatency.Seconds() * 1000}, spareCount: spares,
 	}
 	count := 2*(controlCount+spares) + 2*len(deployment.Zones) + deployment.Model.Workers + deployment.Small.Workers + 4
@@ -83,7 +83,7 @@
 	return layout, layout.build()
 }
 
-func secret(length int) string {
+func randomHex(length int) string {
 	random := make([]byte, length)
 	_, _ = rand.Read(random) // never fails
 	return hex.EncodeToString(random)
@@ -231,7 +231,7 @@
 	}
 	text := string(data)
 	for _, tenant := range l.deployment.Tenants {
-		key := tenant.Name + "-" + secret(12)
+		key := tenant.Name + "-" + randomHex(12)
 		l.Keys = append(l.Keys, key)
 		digest := sha256.Sum256([]byte(key))
 		text = addKey(text, tenant.Name, hex.EncodeToString(digest[:]))
