--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -111,8 +111,8 @@
 	return true
 }
 
-// address hands out the next port in a zone.
-func (l *Layout) address(zone string) string {
+// allocateAddress hands out the next port in a zone.
+func (l *Layout) allocateAddress(zone string) string {
 	address := fmt.Sprintf("%s:%d", loopback, l.nextPort)
 	l.nextPort++
 	l.links.Zones[address] = zone
@@ -149,7 +149,7 @@
 func (l *Layout) path(name string) string { return filepath.Join(l.dataDir, name) }
 
 func (l *Layout) addStores() {
-	l.Platform, l.vaultAddress, l.weightsAddress = l.address(""), l.address(""), l.address("")
+	l.Platform, l.vaultAddress, l.weightsAddress = l.allocateAddress(""), l.allocateAddress(""), l.allocateAddress("")
 	l.add("platform", "", "kitelab", "platform", "--listen", l.Platform, "--machines", l.path("machines.json"), "--deployment", l.deploymentFile)
 	l.add(l.deployment.Vault.Name, "", "kitelab", "vault", "--listen", l.vaultAddress, "--deployment", l.deploymentFile)
 	l.add("weights", "", "kitelab", "weights", "--listen", l.weightsAddress, "--deployment", l.deploymentFile)
@@ -158,14 +158,14 @@
 func (l *Layout) addBackends() {
 	for i := range l.deployment.Model.Workers {
 		name, zone := fmt.Sprintf("%s-%d", l.deployment.Model.Name, i+1), l.zone(i)
-		address := l.address(zone)
+		address := l.allocateAddress(zone)
 		l.machines = append(l.machines, core.Machine{Name: name, Zone: zone, Service: l.deployment.Model.Name, Address: address})
 		l.add(name, zone, "kitelab", "engine", "--name", name, "--zone", zone, "--listen", address,
 			"--weight-store", l.weightsAddress, "--deployment", l.deploymentFile)
 	}
 	for i := range l.deployment.Small.Workers {
 		name, zone := fmt.Sprintf("%s-%d", l.deployment.Small.Name, i+1), l.zone(i)
-		address := l.address(zone)
+		address := l.allocateAddress(zone)
 		l.Backends = append(l.Backends, address)
 		l.machines = append(l.machines, core.Machine{Name: name, Zone: zone, Service: l.deployment.Small.Name, Address: address})
 		l.add(name, zone, "kitelab", "backend", "--name", name, "--zone", zone, "--listen", address, "--deployment", l.deploymentFile)
@@ -176,8 +176,8 @@
 	total := controlCount + l.spareCount
 	var admin []string
 	for i := range total {
-		l.controlInternal = append(l.controlInternal, l.address(l.zone(i)))
-		admin = append(admin, l.address(l.zone(i)))
+		l.controlInternal = append(l.controlInternal, l.allocateAddress(l.zone(i)))
+		admin = append(admin, l.allocateAddress(l.zone(i)))
 	}
 	for i := range total {
 		name, zone := fmt.Sprintf("control-%d", i+1), l.zone(i)
@@ -193,10 +193,10 @@
 
 func (l *Layout) addRouters() error {
 	for i, zone := range l.deployment.Zones {
-		name, listen := fmt.Sprintf("router-%d", i+1), l.address(zone)
+		name, listen := fmt.Sprintf("router-%d", i+1), l.allocateAddress(zone)
 		l.Routers = append(l.Routers, listen)
 		text := l.nodeHeader(name, zone) + fmt.Sprintf("router:\n  listen: %s\n  internal: %s\n  control: [%s]\n  platform: %s\n  vault: %s\n  prefix_key: %s\n  import_tokens_per_s: %.0f\n  zone_latency:\n",
-			listen, l.address(zone), strings.Join(l.controlInternal[:controlCount], ", "), l.Platform, l.vaultAddress, l.prefixKey, l.deployment.Rates().ImportTokens)
+			listen, l.allocateAddress(zone), strings.Join(l.controlInternal[:controlCount], ", "), l.Platform, l.vaultAddress, l.prefixKey, l.deployment.Rates().ImportTokens)
 		for _, other := range l.deployment.Zones {
 			if other != zone {
 				text += fmt.Sprintf("    %s: %s\n", other, l.deployment.ZoneLatency)
