--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -119,7 +119,7 @@
 	return address
 }
 
-func (l *Layout) zone(number int) string { return l.deployment.Zones[number%len(l.deployment.Zones)] }
+func (l *Layout) zoneOf(number int) string { return l.deployment.Zones[number%len(l.deployment.Zones)] }
 
 func (l *Layout) build() error {
 	if err := os.MkdirAll(l.dataDir, directoryPermissions); err != nil {
@@ -157,14 +157,14 @@
 
 func (l *Layout) addBackends() {
 	for i := range l.deployment.Model.Workers {
-		name, zone := fmt.Sprintf("%s-%d", l.deployment.Model.Name, i+1), l.zone(i)
+		name, zone := fmt.Sprintf("%s-%d", l.deployment.Model.Name, i+1), l.zoneOf(i)
 		address := l.allocateAddress(zone)
 		l.machines = append(l.machines, core.Machine{Name: name, Zone: zone, Service: l.deployment.Model.Name, Address: address})
 		l.add(name, zone, "kitelab", "engine", "--name", name, "--zone", zone, "--listen", address,
 			"--weight-store", l.weightsAddress, "--deployment", l.deploymentFile)
 	}
 	for i := range l.deployment.Small.Workers {
-		name, zone := fmt.Sprintf("%s-%d", l.deployment.Small.Name, i+1), l.zone(i)
+		name, zone := fmt.Sprintf("%s-%d", l.deployment.Small.Name, i+1), l.zoneOf(i)
 		address := l.allocateAddress(zone)
 		l.Backends = append(l.Backends, address)
 		l.machines = append(l.machines, core.Machine{Name: name, Zone: zone, Service: l.deployment.Small.Name, Address: address})
@@ -176,11 +176,11 @@
 	total := controlCount + l.spareCount
 	var admin []string
 	for i := range total {
-		l.controlInternal = append(l.controlInternal, l.allocateAddress(l.zone(i)))
-		admin = append(admin, l.allocateAddress(l.zone(i)))
+		l.controlInternal = append(l.controlInternal, l.allocateAddress(l.zoneOf(i)))
+		admin = append(admin, l.allocateAddress(l.zoneOf(i)))
 	}
 	for i := range total {
-		name, zone := fmt.Sprintf("control-%d", i+1), l.zone(i)
+		name, zone := fmt.Sprintf("control-%d", i+1), l.zoneOf(i)
 		text := l.nodeHeader(name, zone) + fmt.Sprintf("control:\n  internal: %s\n  admin: %s\n  founders: [%s]\n  platform: %s\n  repair_after: 5s\n",
 			l.controlInternal[i], admin[i], strings.Join(l.controlInternal[:controlCount], ", "), l.Platform)
 		if err := l.addNode(name, zone, "control", text); err != nil {
