--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -142,7 +142,7 @@
 	return l.writeJSON("links.json", l.links)
 }
 
-func (l *Layout) add(name, zone, binary string, arguments ...string) {
+func (l *Layout) addProcess(name, zone, binary string, arguments ...string) {
 	l.Processes = append(l.Processes, Process{Name: name, Zone: zone, Binary: binary, Arguments: arguments})
 }
 
@@ -150,9 +150,9 @@
 
 func (l *Layout) addStores() {
 	l.Platform, l.vaultAddress, l.weightsAddress = l.allocateAddress(""), l.allocateAddress(""), l.allocateAddress("")
-	l.add("platform", "", "kitelab", "platform", "--listen", l.Platform, "--machines", l.path("machines.json"), "--deployment", l.deploymentFile)
-	l.add(l.deployment.Vault.Name, "", "kitelab", "vault", "--listen", l.vaultAddress, "--deployment", l.deploymentFile)
-	l.add("weights", "", "kitelab", "weights", "--listen", l.weightsAddress, "--deployment", l.deploymentFile)
+	l.addProcess("platform", "", "kitelab", "platform", "--listen", l.Platform, "--machines", l.path("machines.json"), "--deployment", l.deploymentFile)
+	l.addProcess(l.deployment.Vault.Name, "", "kitelab", "vault", "--listen", l.vaultAddress, "--deployment", l.deploymentFile)
+	l.addProcess("weights", "", "kitelab", "weights", "--listen", l.weightsAddress, "--deployment", l.deploymentFile)
 }
 
 func (l *Layout) addBackends() {
@@ -160,7 +160,7 @@
 		name, zone := fmt.Sprintf("%s-%d", l.deployment.Model.Name, i+1), l.zoneOf(i)
 		address := l.allocateAddress(zone)
 		l.machines = append(l.machines, core.Machine{Name: name, Zone: zone, Service: l.deployment.Model.Name, Address: address})
-		l.add(name, zone, "kitelab", "engine", "--name", name, "--zone", zone, "--listen", address,
+		l.addProcess(name, zone, "kitelab", "engine", "--name", name, "--zone", zone, "--listen", address,
 			"--weight-store", l.weightsAddress, "--deployment", l.deploymentFile)
 	}
 	for i := range l.deployment.Small.Workers {
@@ -168,7 +168,7 @@
 		address := l.allocateAddress(zone)
 		l.Backends = append(l.Backends, address)
 		l.machines = append(l.machines, core.Machine{Name: name, Zone: zone, Service: l.deployment.Small.Name, Address: address})
-		l.add(name, zone, "kitelab", "backend", "--name", name, "--zone", zone, "--listen", address, "--deployment", l.deploymentFile)
+		l.addProcess(name, zone, "kitelab", "backend", "--name", name, "--zone", zone, "--listen", address, "--deployment", l.deploymentFile)
 	}
 }
 
@@ -219,7 +219,7 @@
 	if err := os.WriteFile(path, []byte(text), filePermissions); err != nil {
 		return eris.Wrapf(err, "write %s", path)
 	}
-	l.add(name, zone, "kitetiller", kind, path)
+	l.addProcess(name, zone, "kitetiller", kind, path)
 	return nil
 }
 
