--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -136,7 +136,7 @@
 	if err := l.addRouters(); err != nil {
 		return err
 	}
-	if err := l.writeTree(); err != nil {
+	if err := l.writeSettingsTree(); err != nil {
 		return err
 	}
 	return l.writeJSON("links.json", l.links)
@@ -223,8 +223,8 @@
 	return nil
 }
 
-// writeTree writes the deployment's tree with an API key for each tenant.
-func (l *Layout) writeTree() error {
+// writeSettingsTree writes the deployment's tree with an API key for each tenant.
+func (l *Layout) writeSettingsTree() error {
 	data, err := os.ReadFile(l.deploymentFile)
 	if err != nil {
 		return eris.Wrapf(err, "read %s", l.deploymentFile)
