--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -234,13 +234,13 @@
 		key := tenant.Name + "-" + randomHex(12)
 		l.Keys = append(l.Keys, key)
 		digest := sha256.Sum256([]byte(key))
-		text = addKey(text, tenant.Name, hex.EncodeToString(digest[:]))
+		text = addKeyDigest(text, tenant.Name, hex.EncodeToString(digest[:]))
 	}
 	return eris.Wrap(os.WriteFile(l.path("tree.yaml"), []byte(text), filePermissions), "write tree")
 }
 
-// addKey puts a key digest into the one-line settings of a tenant.
-func addKey(text, tenant, digest string) string {
+// addKeyDigest puts a key digest into the one-line settings of a tenant.
+func addKeyDigest(text, tenant, digest string) string {
 	setting := fmt.Sprintf("api_key_sha256: [\"%s\"]", digest)
 	text = strings.Replace(text, tenant+": {settings: {", tenant+": {settings: {"+setting+", ", 1)
 	return strings.Replace(text, tenant+": {}", tenant+": {settings: {"+setting+"}}", 1)
