--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -267,8 +267,8 @@
 	if err := os.WriteFile(l.path("processes.tsv"), []byte(processes.String()), filePermissions); err != nil {
 		return eris.Wrap(err, "write process list")
 	}
-	facts := fmt.Sprintf("ROUTERS=%q\nCONTROL=%q\nBACKENDS=%q\nPLATFORM=%q\nAPI_KEY=%q\nAPI_KEY_2=%q\nADMIN_TOKEN=%q\nMODEL_SERVICE=%q\nSMALL_SERVICE=%q\n",
+	environment := fmt.Sprintf("ROUTERS=%q\nCONTROL=%q\nBACKENDS=%q\nPLATFORM=%q\nAPI_KEY=%q\nAPI_KEY_2=%q\nADMIN_TOKEN=%q\nMODEL_SERVICE=%q\nSMALL_SERVICE=%q\n",
 		strings.Join(l.Routers, " "), strings.Join(l.Control, " "), strings.Join(l.Backends, " "), l.Platform,
 		l.Keys[0], l.Keys[min(1, len(l.Keys)-1)], l.AdminToken, l.deployment.Model.Name, l.deployment.Small.Name)
-	return eris.Wrap(os.WriteFile(l.path("fleet.env"), []byte(facts), filePermissions), "write facts")
+	return eris.Wrap(os.WriteFile(l.path("fleet.env"), []byte(environment), filePermissions), "write facts")
 }
