--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -14,17 +14,17 @@
 // root is the repository's folder; the tests run its scripts and the programs in bin/.
 const root = "../../.."
 
-// running is a fleet of real processes on loopback.
-type running struct {
+// testFleet is a fleet of real processes on loopback.
+type testFleet struct {
 	t     *testing.T
 	data  string
 	facts map[string]string
 }
 
 // startFleet brings a small deployment up. The programs must have been built, as "make test" does.
-func startFleet(t *testing.T) *running {
+func startFleet(t *testing.T) *testFleet {
 	t.Helper()
-	f := &running{t: t, data: t.TempDir(), facts: map[string]string{}}
+	f := &testFleet{t: t, data: t.TempDir(), facts: map[string]string{}}
 	t.Cleanup(func() { _, _ = f.script("stop") })
 	if output, err := f.script("start", "internal/lab/fleet/testdata/small.yaml"); err != nil {
 		t.Fatalf("fleet did not start: %v\n%s", err, output)
@@ -40,14 +40,14 @@
 	return f
 }
 
-func (f *running) script(arguments ...string) (string, error) {
+func (f *testFleet) script(arguments ...string) (string, error) {
 	command := exec.Command("scripts/fleet", append(arguments, "--data", f.data)...)
 	command.Dir = root
 	output, err := command.CombinedOutput()
 	return string(output), err
 }
 
-func (f *running) must(arguments ...string) {
+func (f *testFleet) must(arguments ...string) {
 	f.t.Helper()
 	if output, err := f.script(arguments...); err != nil {
 		f.t.Fatalf("scripts/fleet %v: %v\n%s", arguments, err, output)
@@ -55,7 +55,7 @@
 }
 
 // operator runs an operator's command.
-func (f *running) operator(arguments ...string) (string, error) {
+func (f *testFleet) operator(arguments ...string) (string, error) {
 	command := exec.Command("bin/kitetiller", arguments...)
 	command.Dir = root
 	command.Env = append(os.Environ(), "KITETILLER_CONTROL="+f.facts["CONTROL"], "KITETILLER_ADMIN_TOKEN="+f.facts["ADMIN_TOKEN"])
@@ -70,7 +70,7 @@
 	output  strings.Builder
 }
 
-func (f *running) startLoad(label string, extra ...string) *load {
+func (f *testFleet) startLoad(label string, extra ...string) *load {
 	f.t.Helper()
 	l := &load{t: f.t}
 	arguments := append([]string{"load", "--deployment", "internal/lab/fleet/testdata/small.yaml", "--routers", f.facts["ROUTERS"],
@@ -108,9 +108,11 @@
 	t.Run("leaving engine gets nothing new", f.leavingEngine)
 }
 
-func (f *running) on(t *testing.T) *running { return &running{t: t, data: f.data, facts: f.facts} }
+func (f *testFleet) on(t *testing.T) *testFleet {
+	return &testFleet{t: t, data: f.data, facts: f.facts}
+}
 
-func (f *running) plannedStop(t *testing.T) {
+func (f *testFleet) plannedStop(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("planned")
 	pause()
@@ -119,7 +121,7 @@
 	f.must("restart", "router-2")
 }
 
-func (f *running) killedRouter(t *testing.T) {
+func (f *testFleet) killedRouter(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("killed-router", "--allow-broken")
 	pause()
@@ -128,7 +130,7 @@
 	l.wait()
 }
 
-func (f *running) killedEngine(t *testing.T) {
+func (f *testFleet) killedEngine(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("killed-engine")
 	pause()
@@ -139,7 +141,7 @@
 	l.wait()
 }
 
-func (f *running) frozenEngine(t *testing.T) {
+func (f *testFleet) frozenEngine(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("frozen-engine")
 	pause()
@@ -148,7 +150,7 @@
 	f.must("thaw", "llm-3")
 }
 
-func (f *running) frozenRouter(t *testing.T) {
+func (f *testFleet) frozenRouter(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("frozen-router")
 	pause()
@@ -163,7 +165,7 @@
 var leaderPattern = regexp.MustCompile(`(?m)"leader": "(control-\d)"`)
 
 // leader returns the name of the leading control replica.
-func (f *running) leader() string {
+func (f *testFleet) leader() string {
 	f.t.Helper()
 	for range 100 {
 		output, err := f.operator("status", "--output", "json")
@@ -178,7 +180,7 @@
 
 // members waits until a replica leads with a lease, and returns the members as it sees them. Others may still name an
 // earlier leader that has just been restarted.
-func (f *running) members() string {
+func (f *testFleet) members() string {
 	f.t.Helper()
 	for range 100 {
 		if output, err := f.operator("members"); err == nil {
@@ -190,7 +192,7 @@
 	return ""
 }
 
-func (f *running) killedLeader(t *testing.T) {
+func (f *testFleet) killedLeader(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("killed-leader")
 	accepted := map[string]string{}
@@ -215,7 +217,7 @@
 }
 
 // checkHistory demands every accepted change in the history.
-func (f *running) checkHistory(accepted map[string]string) {
+func (f *testFleet) checkHistory(accepted map[string]string) {
 	f.t.Helper()
 	if len(accepted) == 0 {
 		f.t.Fatal("no change was accepted")
@@ -241,7 +243,7 @@
 	}
 }
 
-func (f *running) wipedControl(t *testing.T) {
+func (f *testFleet) wipedControl(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("wiped")
 	before := f.members()
@@ -262,7 +264,7 @@
 	t.Fatalf("%s was not replaced:\n%s", leader, output)
 }
 
-func (f *running) cutZone(t *testing.T) {
+func (f *testFleet) cutZone(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("cut", "--allow-broken")
 	pause()
@@ -275,7 +277,7 @@
 }
 
 // newWeights changes the weights while requests run: no answer may be lost, and every engine must end with them.
-func (f *running) newWeights(t *testing.T) {
+func (f *testFleet) newWeights(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("weights")
 	pause()
@@ -297,7 +299,7 @@
 var leavingPattern = regexp.MustCompile(`"state": "leaving"`)
 
 // leavingEngine marks an engine as leaving on the machine list; every router must see it so, and nothing is lost.
-func (f *running) leavingEngine(t *testing.T) {
+func (f *testFleet) leavingEngine(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("leaving")
 	f.must("leave", "llm-4")
