--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -16,15 +16,15 @@
 
 // testFleet is a fleet of real processes on loopback.
 type testFleet struct {
-	t     *testing.T
-	data  string
-	facts map[string]string
+	t           *testing.T
+	data        string
+	environment map[string]string
 }
 
 // startFleet brings a small deployment up. The programs must have been built, as "make test" does.
 func startFleet(t *testing.T) *testFleet {
 	t.Helper()
-	f := &testFleet{t: t, data: t.TempDir(), facts: map[string]string{}}
+	f := &testFleet{t: t, data: t.TempDir(), environment: map[string]string{}}
 	t.Cleanup(func() { _, _ = f.script("stop") })
 	if output, err := f.script("start", "internal/lab/fleet/testdata/small.yaml"); err != nil {
 		t.Fatalf("fleet did not start: %v\n%s", err, output)
@@ -35,7 +35,7 @@
 	}
 	for _, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
 		name, value, _ := strings.Cut(line, "=")
-		f.facts[name] = strings.Trim(value, `"`)
+		f.environment[name] = strings.Trim(value, `"`)
 	}
 	return f
 }
@@ -58,7 +58,7 @@
 func (f *testFleet) operator(arguments ...string) (string, error) {
 	command := exec.Command("bin/kitetiller", arguments...)
 	command.Dir = root
-	command.Env = append(os.Environ(), "KITETILLER_CONTROL="+f.facts["CONTROL"], "KITETILLER_ADMIN_TOKEN="+f.facts["ADMIN_TOKEN"])
+	command.Env = append(os.Environ(), "KITETILLER_CONTROL="+f.environment["CONTROL"], "KITETILLER_ADMIN_TOKEN="+f.environment["ADMIN_TOKEN"])
 	output, err := command.CombinedOutput()
 	return string(output), err
 }
@@ -73,8 +73,8 @@
 func (f *testFleet) startLoad(label string, extra ...string) *load {
 	f.t.Helper()
 	l := &load{t: f.t}
-	arguments := append([]string{"load", "--deployment", "internal/lab/fleet/testdata/small.yaml", "--routers", f.facts["ROUTERS"],
-		"--keys", f.facts["API_KEY"] + "," + f.facts["API_KEY_2"], "--backends", f.facts["BACKENDS"], "--duration", "6s", "--rate", "25",
+	arguments := append([]string{"load", "--deployment", "internal/lab/fleet/testdata/small.yaml", "--routers", f.environment["ROUTERS"],
+		"--keys", f.environment["API_KEY"] + "," + f.environment["API_KEY_2"], "--backends", f.environment["BACKENDS"], "--duration", "6s", "--rate", "25",
 		"--label", label}, extra...)
 	l.command = exec.Command("bin/kitelab", arguments...)
 	l.command.Dir = root
@@ -109,7 +109,7 @@
 }
 
 func (f *testFleet) on(t *testing.T) *testFleet {
-	return &testFleet{t: t, data: f.data, facts: f.facts}
+	return &testFleet{t: t, data: f.data, environment: f.environment}
 }
 
 func (f *testFleet) plannedStop(t *testing.T) {
@@ -304,7 +304,7 @@
 	l := f.startLoad("leaving")
 	f.must("leave", "llm-4")
 	l.wait()
-	output, err := f.operator("status", "--output", "json", "--routers", strings.ReplaceAll(f.facts["ROUTERS"], " ", ","))
+	output, err := f.operator("status", "--output", "json", "--routers", strings.ReplaceAll(f.environment["ROUTERS"], " ", ","))
 	if err != nil {
 		t.Fatalf("%v\n%s", err, output)
 	}
