--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -25,8 +25,8 @@
 func startFleet(t *testing.T) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, data: t.TempDir(), environment: map[string]string{}}
-	t.Cleanup(func() { _, _ = f.script("stop") })
-	if output, err := f.script("start", "internal/lab/fleet/testdata/small.yaml"); err != nil {
+	t.Cleanup(func() { _, _ = f.runScript("stop") })
+	if output, err := f.runScript("start", "internal/lab/fleet/testdata/small.yaml"); err != nil {
 		t.Fatalf("fleet did not start: %v\n%s", err, output)
 	}
 	text, err := os.ReadFile(filepath.Join(f.data, "fleet.env"))
@@ -40,7 +40,7 @@
 	return f
 }
 
-func (f *testFleet) script(arguments ...string) (string, error) {
+func (f *testFleet) runScript(arguments ...string) (string, error) {
 	command := exec.Command("scripts/fleet", append(arguments, "--data", f.data)...)
 	command.Dir = root
 	output, err := command.CombinedOutput()
@@ -49,7 +49,7 @@
 
 func (f *testFleet) must(arguments ...string) {
 	f.t.Helper()
-	if output, err := f.script(arguments...); err != nil {
+	if output, err := f.runScript(arguments...); err != nil {
 		f.t.Fatalf("scripts/fleet %v: %v\n%s", arguments, err, output)
 	}
 }
