--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -47,7 +47,7 @@
 	return string(output), err
 }
 
-func (f *testFleet) must(arguments ...string) {
+func (f *testFleet) mustRunScript(arguments ...string) {
 	f.t.Helper()
 	if output, err := f.runScript(arguments...); err != nil {
 		f.t.Fatalf("scripts/fleet %v: %v\n%s", arguments, err, output)
@@ -116,17 +116,17 @@
 	f = f.on(t)
 	l := f.startLoad("planned")
 	pause()
-	f.must("stop-one", "router-2")
+	f.mustRunScript("stop-one", "router-2")
 	l.wait()
-	f.must("restart", "router-2")
+	f.mustRunScript("restart", "router-2")
 }
 
 func (f *testFleet) killedRouter(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("killed-router", "--allow-broken")
 	pause()
-	f.must("kill", "router-1")
-	f.must("restart", "router-1")
+	f.mustRunScript("kill", "router-1")
+	f.mustRunScript("restart", "router-1")
 	l.wait()
 }
 
@@ -134,10 +134,10 @@
 	f = f.on(t)
 	l := f.startLoad("killed-engine")
 	pause()
-	f.must("kill", "llm-1")
-	f.must("restart", "llm-1")
-	f.must("kill", "llm-2")
-	f.must("restart", "llm-2")
+	f.mustRunScript("kill", "llm-1")
+	f.mustRunScript("restart", "llm-1")
+	f.mustRunScript("kill", "llm-2")
+	f.mustRunScript("restart", "llm-2")
 	l.wait()
 }
 
@@ -145,20 +145,20 @@
 	f = f.on(t)
 	l := f.startLoad("frozen-engine")
 	pause()
-	f.must("freeze", "llm-3")
+	f.mustRunScript("freeze", "llm-3")
 	l.wait()
-	f.must("thaw", "llm-3")
+	f.mustRunScript("thaw", "llm-3")
 }
 
 func (f *testFleet) frozenRouter(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("frozen-router")
 	pause()
-	f.must("freeze", "router-3")
+	f.mustRunScript("freeze", "router-3")
 	for range 5 {
 		pause()
 	}
-	f.must("thaw", "router-3")
+	f.mustRunScript("thaw", "router-3")
 	l.wait()
 }
 
@@ -199,13 +199,13 @@
 	for i := range 30 {
 		if i == 5 || i == 15 {
 			leader := f.leader()
-			f.must("kill", leader)
-			defer f.must("restart", leader)
+			f.mustRunScript("kill", leader)
+			defer f.mustRunScript("restart", leader)
 		}
 		if i == 10 {
-			f.must("restart", "control-1")
-			f.must("restart", "control-2")
-			f.must("restart", "control-3")
+			f.mustRunScript("restart", "control-1")
+			f.mustRunScript("restart", "control-2")
+			f.mustRunScript("restart", "control-3")
 		}
 		id := fmt.Sprintf("loop-%d", i)
 		if output, err := f.operator("config", "set", "/", "queue_limit", fmt.Sprint(600+i), "--operation-id", id); err == nil {
@@ -252,7 +252,7 @@
 	if lost == "" {
 		t.Fatalf("%s is not among the members:\n%s", leader, before)
 	}
-	f.must("wipe", leader)
+	f.mustRunScript("wipe", leader)
 	l.wait()
 	for range 50 {
 		if output, err := f.operator("members"); err == nil && strings.Count(output, "true") == 3 && !strings.Contains(output, lost) {
@@ -268,11 +268,11 @@
 	f = f.on(t)
 	l := f.startLoad("cut", "--allow-broken")
 	pause()
-	f.must("cut", "west")
+	f.mustRunScript("cut", "west")
 	for range 4 {
 		pause()
 	}
-	f.must("heal", "west")
+	f.mustRunScript("heal", "west")
 	l.wait()
 }
 
@@ -302,7 +302,7 @@
 func (f *testFleet) leavingEngine(t *testing.T) {
 	f = f.on(t)
 	l := f.startLoad("leaving")
-	f.must("leave", "llm-4")
+	f.mustRunScript("leave", "llm-4")
 	l.wait()
 	output, err := f.operator("status", "--output", "json", "--routers", strings.ReplaceAll(f.environment["ROUTERS"], " ", ","))
 	if err != nil {
