--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// operator runs an operator's command.
-func (f *testFleet) operator(arguments ...string) (string, error) {
+// runOperator runs an runOperator's command.
+func (f *testFleet) runOperator(arguments ...string) (string, error) {
 	command := exec.Command("bin/kitetiller", arguments...)
 	command.Dir = root
 	command.Env = append(os.Environ(), "KITETILLER_CONTROL="+f.environment["CONTROL"], "KITETILLER_ADMIN_TOKEN="+f.environment["ADMIN_TOKEN"])
@@ -168,7 +168,7 @@
 func (f *testFleet) leader() string {
 	f.t.Helper()
 	for range 100 {
-		output, err := f.operator("status", "--output", "json")
+		output, err := f.runOperator("status", "--output", "json")
 		if match := leaderPattern.FindStringSubmatch(output); err == nil && match != nil {
 			return match[1]
 		}
@@ -183,7 +183,7 @@
 func (f *testFleet) members() string {
 	f.t.Helper()
 	for range 100 {
-		if output, err := f.operator("members"); err == nil {
+		if output, err := f.runOperator("members"); err == nil {
 			return output
 		}
 		pause()
@@ -208,7 +208,7 @@
 			f.mustRunScript("restart", "control-3")
 		}
 		id := fmt.Sprintf("loop-%d", i)
-		if output, err := f.operator("config", "set", "/", "queue_limit", fmt.Sprint(600+i), "--operation-id", id); err == nil {
+		if output, err := f.runOperator("config", "set", "/", "queue_limit", fmt.Sprint(600+i), "--operation-id", id); err == nil {
 			accepted[id] = output
 		}
 	}
@@ -222,7 +222,7 @@
 	if len(accepted) == 0 {
 		f.t.Fatal("no change was accepted")
 	}
-	output, err := f.operator("config", "history", "--output", "json")
+	output, err := f.runOperator("config", "history", "--output", "json")
 	if err != nil {
 		f.t.Fatalf("history: %v\n%s", err, output)
 	}
@@ -255,12 +255,12 @@
 	f.mustRunScript("wipe", leader)
 	l.wait()
 	for range 50 {
-		if output, err := f.operator("members"); err == nil && strings.Count(output, "true") == 3 && !strings.Contains(output, lost) {
+		if output, err := f.runOperator("members"); err == nil && strings.Count(output, "true") == 3 && !strings.Contains(output, lost) {
 			return
 		}
 		pause()
 	}
-	output, _ := f.operator("members")
+	output, _ := f.runOperator("members")
 	t.Fatalf("%s was not replaced:\n%s", leader, output)
 }
 
@@ -281,18 +281,18 @@
 	f = f.on(t)
 	l := f.startLoad("weights")
 	pause()
-	if output, err := f.operator("config", "set", "/*/llm", "weights_version", "w2"); err != nil {
+	if output, err := f.runOperator("config", "set", "/*/llm", "weights_version", "w2"); err != nil {
 		t.Fatalf("%v\n%s", err, output)
 	}
 	l.wait()
 	for range 50 {
-		output, err := f.operator("status", "--output", "json")
+		output, err := f.runOperator("status", "--output", "json")
 		if err == nil && strings.Count(output, `"weights": "w2"`) >= 6 && !strings.Contains(output, `"weights": "w1"`) {
 			return
 		}
 		pause()
 	}
-	output, _ := f.operator("status")
+	output, _ := f.runOperator("status")
 	t.Fatalf("not every engine holds the new weights:\n%s", output)
 }
 
@@ -304,7 +304,7 @@
 	l := f.startLoad("leaving")
 	f.mustRunScript("leave", "llm-4")
 	l.wait()
-	output, err := f.operator("status", "--output", "json", "--routers", strings.ReplaceAll(f.environment["ROUTERS"], " ", ","))
+	output, err := f.runOperator("status", "--output", "json", "--routers", strings.ReplaceAll(f.environment["ROUTERS"], " ", ","))
 	if err != nil {
 		t.Fatalf("%v\n%s", err, output)
 	}
