--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -63,16 +63,16 @@
 	return string(output), err
 }
 
-// load is traffic in the background.
-type load struct {
+// loadRun is traffic in the background.
+type loadRun struct {
 	t       *testing.T
 	command *exec.Cmd
 	output  strings.Builder
 }
 
-func (f *testFleet) startLoad(label string, extra ...string) *load {
+func (f *testFleet) startLoad(label string, extra ...string) *loadRun {
 	f.t.Helper()
-	l := &load{t: f.t}
+	l := &loadRun{t: f.t}
 	arguments := append([]string{"load", "--deployment", "internal/lab/fleet/testdata/small.yaml", "--routers", f.environment["ROUTERS"],
 		"--keys", f.environment["API_KEY"] + "," + f.environment["API_KEY_2"], "--backends", f.environment["BACKENDS"], "--duration", "6s", "--rate", "25",
 		"--label", label}, extra...)
@@ -86,7 +86,7 @@
 }
 
 // wait demands that the load saw nothing lost, doubled, out of order or wrong.
-func (l *load) wait() {
+func (l *loadRun) wait() {
 	l.t.Helper()
 	if err := l.command.Wait(); err != nil {
 		l.t.Fatalf("load: %v\n%s", err, l.output.String())
