--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -85,8 +85,8 @@
 	return l
 }
 
-// wait demands that the load saw nothing lost, doubled, out of order or wrong.
-func (l *loadRun) wait() {
+// requireNoErrors demands that the load saw nothing lost, doubled, out of order or wrong.
+func (l *loadRun) requireNoErrors() {
 	l.t.Helper()
 	if err := l.command.Wait(); err != nil {
 		l.t.Fatalf("load: %v\n%s", err, l.output.String())
@@ -117,7 +117,7 @@
 	l := f.startLoad("planned")
 	pause()
 	f.mustRunScript("stop-one", "router-2")
-	l.wait()
+	l.requireNoErrors()
 	f.mustRunScript("restart", "router-2")
 }
 
@@ -127,7 +127,7 @@
 	pause()
 	f.mustRunScript("kill", "router-1")
 	f.mustRunScript("restart", "router-1")
-	l.wait()
+	l.requireNoErrors()
 }
 
 func (f *testFleet) killedEngine(t *testing.T) {
@@ -138,7 +138,7 @@
 	f.mustRunScript("restart", "llm-1")
 	f.mustRunScript("kill", "llm-2")
 	f.mustRunScript("restart", "llm-2")
-	l.wait()
+	l.requireNoErrors()
 }
 
 func (f *testFleet) frozenEngine(t *testing.T) {
@@ -146,7 +146,7 @@
 	l := f.startLoad("frozen-engine")
 	pause()
 	f.mustRunScript("freeze", "llm-3")
-	l.wait()
+	l.requireNoErrors()
 	f.mustRunScript("thaw", "llm-3")
 }
 
@@ -159,7 +159,7 @@
 		pause()
 	}
 	f.mustRunScript("thaw", "router-3")
-	l.wait()
+	l.requireNoErrors()
 }
 
 var leaderPattern = regexp.MustCompile(`(?m)"leader": "(control-\d)"`)
@@ -212,7 +212,7 @@
 			accepted[id] = output
 		}
 	}
-	l.wait()
+	l.requireNoErrors()
 	f.checkHistory(accepted)
 }
 
@@ -253,7 +253,7 @@
 		t.Fatalf("%s is not among the members:\n%s", leader, before)
 	}
 	f.mustRunScript("wipe", leader)
-	l.wait()
+	l.requireNoErrors()
 	for range 50 {
 		if output, err := f.runOperator("members"); err == nil && strings.Count(output, "true") == 3 && !strings.Contains(output, lost) {
 			return
@@ -273,7 +273,7 @@
 		pause()
 	}
 	f.mustRunScript("heal", "west")
-	l.wait()
+	l.requireNoErrors()
 }
 
 // newWeights changes the weights while requests run: no answer may be lost, and every engine must end with them.
@@ -284,7 +284,7 @@
 	if output, err := f.runOperator("config", "set", "/*/llm", "weights_version", "w2"); err != nil {
 		t.Fatalf("%v\n%s", err, output)
 	}
-	l.wait()
+	l.requireNoErrors()
 	for range 50 {
 		output, err := f.runOperator("status", "--output", "json")
 		if err == nil && strings.Count(output, `"weights": "w2"`) >= 6 && !strings.Contains(output, `"weights": "w1"`) {
@@ -303,7 +303,7 @@
 	f = f.on(t)
 	l := f.startLoad("leaving")
 	f.mustRunScript("leave", "llm-4")
-	l.wait()
+	l.requireNoErrors()
 	output, err := f.runOperator("status", "--output", "json", "--routers", strings.ReplaceAll(f.environment["ROUTERS"], " ", ","))
 	if err != nil {
 		t.Fatalf("%v\n%s", err, output)
