--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -108,12 +108,12 @@
 	t.Run("leaving engine gets nothing new", f.leavingEngine)
 }
 
-func (f *testFleet) on(t *testing.T) *testFleet {
+func (f *testFleet) forSubtest(t *testing.T) *testFleet {
 	return &testFleet{t: t, data: f.data, environment: f.environment}
 }
 
 func (f *testFleet) plannedStop(t *testing.T) {
-	f = f.on(t)
+	f = f.forSubtest(t)
 	l := f.startLoad("planned")
 	pause()
 	f.mustRunScript("stop-one", "router-2")
@@ -122,7 +122,7 @@
 }
 
 func (f *testFleet) killedRouter(t *testing.T) {
-	f = f.on(t)
+	f = f.forSubtest(t)
 	l := f.startLoad("killed-router", "--allow-broken")
 	pause()
 	f.mustRunScript("kill", "router-1")
@@ -131,7 +131,7 @@
 }
 
 func (f *testFleet) killedEngine(t *testing.T) {
-	f = f.on(t)
+	f = f.forSubtest(t)
 	l := f.startLoad("killed-engine")
 	pause()
 	f.mustRunScript("kill", "llm-1")
@@ -142,7 +142,7 @@
 }
 
 func (f *testFleet) frozenEngine(t *testing.T) {
-	f = f.on(t)
+	f = f.forSubtest(t)
 	l := f.startLoad("frozen-engine")
 	pause()
 	f.mustRunScript("freeze", "llm-3")
@@ -151,7 +151,7 @@
 }
 
 func (f *testFleet) frozenRouter(t *testing.T) {
-	f = f.on(t)
+	f = f.forSubtest(t)
 	l := f.startLoad("frozen-router")
 	pause()
 	f.mustRunScript("freeze", "router-3")
@@ -193,7 +193,7 @@
 }
 
 func (f *testFleet) killedLeader(t *testing.T) {
-	f = f.on(t)
+	f = f.forSubtest(t)
 	l := f.startLoad("killed-leader")
 	accepted := map[string]string{}
 	for i := range 30 {
@@ -244,7 +244,7 @@
 }
 
 func (f *testFleet) wipedControl(t *testing.T) {
-	f = f.on(t)
+	f = f.forSubtest(t)
 	l := f.startLoad("wiped")
 	before := f.members()
 	leader := f.leader()
@@ -265,7 +265,7 @@
 }
 
 func (f *testFleet) cutZone(t *testing.T) {
-	f = f.on(t)
+	f = f.forSubtest(t)
 	l := f.startLoad("cut", "--allow-broken")
 	pause()
 	f.mustRunScript("cut", "west")
@@ -278,7 +278,7 @@
 
 // newWeights changes the weights while requests run: no answer may be lost, and every engine must end with them.
 func (f *testFleet) newWeights(t *testing.T) {
-	f = f.on(t)
+	f = f.forSubtest(t)
 	l := f.startLoad("weights")
 	pause()
 	if output, err := f.runOperator("config", "set", "/*/llm", "weights_version", "w2"); err != nil {
@@ -300,7 +300,7 @@
 
 // leavingEngine marks an engine as leaving on the machine list; every router must see it so, and nothing is lost.
 func (f *testFleet) leavingEngine(t *testing.T) {
-	f = f.on(t)
+	f = f.forSubtest(t)
 	l := f.startLoad("leaving")
 	f.mustRunScript("leave", "llm-4")
 	l.requireNoErrors()
