--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -164,8 +164,8 @@
 
 var leaderPattern = regexp.MustCompile(`(?m)"leader": "(control-\d)"`)
 
-// leader returns the name of the leading control replica.
-func (f *testFleet) leader() string {
+// waitForLeader returns the name of the leading control replica.
+func (f *testFleet) waitForLeader() string {
 	f.t.Helper()
 	for range 100 {
 		output, err := f.runOperator("status", "--output", "json")
@@ -198,7 +198,7 @@
 	accepted := map[string]string{}
 	for i := range 30 {
 		if i == 5 || i == 15 {
-			leader := f.leader()
+			leader := f.waitForLeader()
 			f.mustRunScript("kill", leader)
 			defer f.mustRunScript("restart", leader)
 		}
@@ -247,7 +247,7 @@
 	f = f.forSubtest(t)
 	l := f.startLoad("wiped")
 	before := f.members()
-	leader := f.leader()
+	leader := f.waitForLeader()
 	lost := regexp.MustCompile(leader + `-\w+`).FindString(before)
 	if lost == "" {
 		t.Fatalf("%s is not among the members:\n%s", leader, before)
