--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -178,9 +178,9 @@
 	return ""
 }
 
-// members waits until a replica leads with a lease, and returns the members as it sees them. Others may still name an
+// waitForMembers waits until a replica leads with a lease, and returns the waitForMembers as it sees them. Others may still name an
 // earlier leader that has just been restarted.
-func (f *testFleet) members() string {
+func (f *testFleet) waitForMembers() string {
 	f.t.Helper()
 	for range 100 {
 		if output, err := f.runOperator("members"); err == nil {
@@ -246,7 +246,7 @@
 func (f *testFleet) wipedControl(t *testing.T) {
 	f = f.forSubtest(t)
 	l := f.startLoad("wiped")
-	before := f.members()
+	before := f.waitForMembers()
 	leader := f.waitForLeader()
 	lost := regexp.MustCompile(leader + `-\w+`).FindString(before)
 	if lost == "" {
