--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -232,12 +232,12 @@
 	if err := json.Unmarshal([]byte(output), &entries); err != nil {
 		f.t.Fatalf("history: %v\n%s", err, output)
 	}
-	kept := map[string]bool{}
+	recorded := map[string]bool{}
 	for _, entry := range entries {
-		kept[entry.OperationID] = true
+		recorded[entry.OperationID] = true
 	}
 	for id, output := range accepted {
-		if !kept[id] {
+		if !recorded[id] {
 			f.t.Errorf("%s was accepted (%s) and is gone", id, strings.TrimSpace(output))
 		}
 	}
