--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -213,11 +213,11 @@
 		}
 	}
 	l.requireNoErrors()
-	f.checkHistory(accepted)
+	f.requireInHistory(accepted)
 }
 
-// checkHistory demands every accepted change in the history.
-func (f *testFleet) checkHistory(accepted map[string]string) {
+// requireInHistory demands every accepted change in the history.
+func (f *testFleet) requireInHistory(accepted map[string]string) {
 	f.t.Helper()
 	if len(accepted) == 0 {
 		f.t.Fatal("no change was accepted")
