--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -248,14 +248,14 @@
 	l := f.startLoad("wiped")
 	before := f.waitForMembers()
 	leader := f.waitForLeader()
-	lost := regexp.MustCompile(leader + `-\w+`).FindString(before)
-	if lost == "" {
+	wipedMember := regexp.MustCompile(leader + `-\w+`).FindString(before)
+	if wipedMember == "" {
 		t.Fatalf("%s is not among the members:\n%s", leader, before)
 	}
 	f.mustRunScript("wipe", leader)
 	l.requireNoErrors()
 	for range 50 {
-		if output, err := f.runOperator("members"); err == nil && strings.Count(output, "true") == 3 && !strings.Contains(output, lost) {
+		if output, err := f.runOperator("members"); err == nil && strings.Count(output, "true") == 3 && !strings.Contains(output, wipedMember) {
 			return
 		}
 		pause()
