--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -103,7 +103,7 @@
 	t.Run("frozen router runs nothing twice", f.frozenRouter)
 	t.Run("killed leader loses no accepted change and doubles no run", f.killedLeader)
 	t.Run("wiped control replica is replaced", f.wipedControl)
-	t.Run("cut zone heals", f.cutZone)
+	t.Run("cut zone heals", f.partitionedZone)
 	t.Run("new weights are rolled out under load", f.newWeights)
 	t.Run("leaving engine gets nothing new", f.leavingEngine)
 }
@@ -264,7 +264,7 @@
 	t.Fatalf("%s was not replaced:\n%s", leader, output)
 }
 
-func (f *testFleet) cutZone(t *testing.T) {
+func (f *testFleet) partitionedZone(t *testing.T) {
 	f = f.forSubtest(t)
 	l := f.startLoad("cut", "--allow-broken")
 	pause()
