--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -104,7 +104,7 @@
 	t.Run("killed leader loses no accepted change and doubles no run", f.killedLeader)
 	t.Run("wiped control replica is replaced", f.wipedControl)
 	t.Run("cut zone heals", f.partitionedZone)
-	t.Run("new weights are rolled out under load", f.newWeights)
+	t.Run("new weights are rolled out under load", f.weightsRollout)
 	t.Run("leaving engine gets nothing new", f.leavingEngine)
 }
 
@@ -276,8 +276,8 @@
 	l.requireNoErrors()
 }
 
-// newWeights changes the weights while requests run: no answer may be lost, and every engine must end with them.
-func (f *testFleet) newWeights(t *testing.T) {
+// weightsRollout changes the weights while requests run: no answer may be lost, and every engine must end with them.
+func (f *testFleet) weightsRollout(t *testing.T) {
 	f = f.forSubtest(t)
 	l := f.startLoad("weights")
 	pause()
