--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -105,7 +105,7 @@
 	t.Run("wiped control replica is replaced", f.wipedControl)
 	t.Run("cut zone heals", f.partitionedZone)
 	t.Run("new weights are rolled out under load", f.weightsRollout)
-	t.Run("leaving engine gets nothing new", f.leavingEngine)
+	t.Run("leaving engine gets nothing new", f.drainingEngine)
 }
 
 func (f *testFleet) forSubtest(t *testing.T) *testFleet {
@@ -298,8 +298,8 @@
 
 var leavingPattern = regexp.MustCompile(`"state": "leaving"`)
 
-// leavingEngine marks an engine as leaving on the machine list; every router must see it so, and nothing is lost.
-func (f *testFleet) leavingEngine(t *testing.T) {
+// drainingEngine marks an engine as leaving on the machine list; every router must see it so, and nothing is lost.
+func (f *testFleet) drainingEngine(t *testing.T) {
 	f = f.forSubtest(t)
 	l := f.startLoad("leaving")
 	f.mustRunScript("leave", "llm-4")
