--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -296,7 +296,7 @@
 	t.Fatalf("not every engine holds the new weights:\n%s", output)
 }
 
-var leavingPattern = regexp.MustCompile(`"state": "leaving"`)
+var drainingPattern = regexp.MustCompile(`"state": "leaving"`)
 
 // drainingEngine marks an engine as leaving on the machine list; every router must see it so, and nothing is lost.
 func (f *testFleet) drainingEngine(t *testing.T) {
@@ -308,7 +308,7 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, output)
 	}
-	if seen := len(leavingPattern.FindAllString(output, -1)); seen != 3 {
+	if seen := len(drainingPattern.FindAllString(output, -1)); seen != 3 {
 		t.Fatalf("%d of 3 routers see the engine as leaving", seen)
 	}
 }
