--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -14,9 +14,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrNoHistory says that a repository doesn't hold a commit: its history may have been cut off where it was cloned. A caller can tell it with
+// ErrCommitNotFound says that a repository doesn't hold a commit: its history may have been cut off where it was cloned. A caller can tell it with
 // errors.Is.
-var ErrNoHistory = eris.New("this checkout's history doesn't hold the commit")
+var ErrCommitNotFound = eris.New("this checkout's history doesn't hold the commit")
 
 const (
 	folderMode  = 0o755
@@ -66,7 +66,7 @@
 	}
 	name, err := output(ctx, repository, "git", "rev-parse", "--verify", "--quiet", commit+"^{commit}")
 	if err != nil {
-		return "", eris.Wrapf(ErrNoHistory, "%s (a shallow clone holds the newest ones only)", commit)
+		return "", eris.Wrapf(ErrCommitNotFound, "%s (a shallow clone holds the newest ones only)", commit)
 	}
 	return strings.TrimSpace(string(name)), nil
 }
--- a/internal/lab/earlier/earlier_test.go
+++ b/internal/lab/earlier/earlier_test.go
@@ -60,11 +60,11 @@
 // TestWhatCannotBeBuiltIsSaid: a commit that isn't there, as in a shallow clone, a name that is none, and a package that isn't there.
 func TestWhatCannotBeBuiltIsSaid(t *testing.T) {
 	repository, programs := newRepository(t), t.TempDir()
-	if _, err := Build(t.Context(), repository, "0123456789abcdef", "cmd/tell", programs); !errors.Is(err, ErrNoHistory) {
+	if _, err := Build(t.Context(), repository, "0123456789abcdef", "cmd/tell", programs); !errors.Is(err, ErrCommitNotFound) {
 		t.Fatalf("a commit that isn't there: %v", err)
 	}
 	for _, row := range [][2]string{{"", "cmd/tell"}, {"--help", "cmd/tell"}, {"HEAD", "cmd/none"}} {
-		if _, err := Build(t.Context(), repository, row[0], row[1], programs); err == nil || errors.Is(err, ErrNoHistory) {
+		if _, err := Build(t.Context(), repository, row[0], row[1], programs); err == nil || errors.Is(err, ErrCommitNotFound) {
 			t.Fatalf("%v: %v", row, err)
 		}
 	}
