--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -56,7 +56,7 @@
 	if _, err := output(ctx, source, "go", "build", "-o", made, "./"+pkg); err != nil {
 		return "", eris.Wrapf(err, "build %s at %s", pkg, commit)
 	}
-	return program, put(made, program)
+	return program, installAtomically(made, program)
 }
 
 // resolve returns the whole name of a commit.
@@ -90,8 +90,8 @@
 	return eris.Wrap(os.CopyFS(folder, archive), "unpack the archive")
 }
 
-// put moves a program to its place as a whole, so that nobody meets a part of one.
-func put(made, program string) error {
+// installAtomically moves a program to its place as a whole, so that nobody meets a part of one.
+func installAtomically(made, program string) error {
 	text, err := os.ReadFile(made)
 	if err != nil {
 		return eris.Wrap(err, "read the program")
