--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -52,11 +52,11 @@
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return "", eris.Wrap(err, "make a folder")
 	}
-	made := filepath.Join(source, "program")
-	if _, err := output(ctx, source, "go", "build", "-o", made, "./"+pkg); err != nil {
+	built := filepath.Join(source, "program")
+	if _, err := output(ctx, source, "go", "build", "-o", built, "./"+pkg); err != nil {
 		return "", eris.Wrapf(err, "build %s at %s", pkg, commit)
 	}
-	return program, installAtomically(made, program)
+	return program, installAtomically(built, program)
 }
 
 // resolve returns the whole name of a commit.
