--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -91,8 +91,8 @@
 }
 
 // installAtomically moves a program to its place as a whole, so that nobody meets a part of one.
-func installAtomically(made, program string) error {
-	text, err := os.ReadFile(made)
+func installAtomically(built, program string) error {
+	text, err := os.ReadFile(built)
 	if err != nil {
 		return eris.Wrap(err, "read the program")
 	}
