--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -42,11 +42,11 @@
 		return "", eris.Wrap(err, "make a folder")
 	}
 	defer os.RemoveAll(source)
-	packed, err := output(ctx, repository, "git", "archive", "--format=zip", full)
+	archive, err := output(ctx, repository, "git", "archive", "--format=zip", full)
 	if err != nil {
 		return "", eris.Wrapf(err, "read the files of %s", commit)
 	}
-	if err := unpack(packed, source); err != nil {
+	if err := unpack(archive, source); err != nil {
 		return "", err
 	}
 	if err := os.MkdirAll(folder, folderMode); err != nil {
