--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -83,11 +83,11 @@
 
 // unpack writes the files of an archive into a folder.
 func unpack(packed []byte, folder string) error {
-	archive, err := zip.NewReader(bytes.NewReader(packed), int64(len(packed)))
+	reader, err := zip.NewReader(bytes.NewReader(packed), int64(len(packed)))
 	if err != nil {
 		return eris.Wrap(err, "read the archive")
 	}
-	return eris.Wrap(os.CopyFS(folder, archive), "unpack the archive")
+	return eris.Wrap(os.CopyFS(folder, reader), "unpack the archive")
 }
 
 // installAtomically moves a program to its place as a whole, so that nobody meets a part of one.
