--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -82,8 +82,8 @@
 }
 
 // unpack writes the files of an archive into a folder.
-func unpack(packed []byte, folder string) error {
-	reader, err := zip.NewReader(bytes.NewReader(packed), int64(len(packed)))
+func unpack(archive []byte, folder string) error {
+	reader, err := zip.NewReader(bytes.NewReader(archive), int64(len(archive)))
 	if err != nil {
 		return eris.Wrap(err, "read the archive")
 	}
