--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -75,10 +75,10 @@
 func output(ctx context.Context, folder, name string, arguments ...string) ([]byte, error) {
 	command := exec.CommandContext(ctx, name, arguments...)
 	command.Dir = folder
-	var said bytes.Buffer
-	command.Stderr = &said
+	var stderr bytes.Buffer
+	command.Stderr = &stderr
 	out, err := command.Output()
-	return out, eris.Wrapf(err, "%s %s: %s", name, strings.Join(arguments, " "), strings.TrimSpace(said.String()))
+	return out, eris.Wrapf(err, "%s %s: %s", name, strings.Join(arguments, " "), strings.TrimSpace(stderr.String()))
 }
 
 // unpack writes the files of an archive into a folder.
