--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -92,7 +92,7 @@
 
 // installAtomically moves a program to its place as a whole, so that nobody meets a part of one.
 func installAtomically(built, program string) error {
-	text, err := os.ReadFile(built)
+	data, err := os.ReadFile(built)
 	if err != nil {
 		return eris.Wrap(err, "read the program")
 	}
@@ -101,7 +101,7 @@
 		return eris.Wrap(err, "write the program")
 	}
 	defer os.Remove(beside.Name())
-	if _, err := beside.Write(text); err != nil {
+	if _, err := beside.Write(data); err != nil {
 		return eris.Wrap(err, "write the program")
 	}
 	if err := beside.Close(); err != nil {
