--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -96,19 +96,19 @@
 	if err != nil {
 		return eris.Wrap(err, "read the program")
 	}
-	beside, err := os.CreateTemp(filepath.Dir(program), ".program-")
+	temporary, err := os.CreateTemp(filepath.Dir(program), ".program-")
 	if err != nil {
 		return eris.Wrap(err, "write the program")
 	}
-	defer os.Remove(beside.Name())
-	if _, err := beside.Write(data); err != nil {
+	defer os.Remove(temporary.Name())
+	if _, err := temporary.Write(data); err != nil {
 		return eris.Wrap(err, "write the program")
 	}
-	if err := beside.Close(); err != nil {
+	if err := temporary.Close(); err != nil {
 		return eris.Wrap(err, "write the program")
 	}
-	if err := os.Chmod(beside.Name(), programMode); err != nil {
+	if err := os.Chmod(temporary.Name(), programMode); err != nil {
 		return eris.Wrap(err, "write the program")
 	}
-	return eris.Wrap(os.Rename(beside.Name(), program), "write the program")
+	return eris.Wrap(os.Rename(temporary.Name(), program), "write the program")
 }
