--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -42,7 +42,7 @@
 		return "", eris.Wrap(err, "make a folder")
 	}
 	defer os.RemoveAll(source)
-	archive, err := output(ctx, repository, "git", "archive", "--format=zip", full)
+	archive, err := runCommand(ctx, repository, "git", "archive", "--format=zip", full)
 	if err != nil {
 		return "", eris.Wrapf(err, "read the files of %s", commit)
 	}
@@ -53,7 +53,7 @@
 		return "", eris.Wrap(err, "make a folder")
 	}
 	built := filepath.Join(source, "program")
-	if _, err := output(ctx, source, "go", "build", "-o", built, "./"+pkg); err != nil {
+	if _, err := runCommand(ctx, source, "go", "build", "-o", built, "./"+pkg); err != nil {
 		return "", eris.Wrapf(err, "build %s at %s", pkg, commit)
 	}
 	return program, installAtomically(built, program)
@@ -64,15 +64,15 @@
 	if commit == "" || strings.HasPrefix(commit, "-") {
 		return "", eris.Errorf("%q names no commit", commit)
 	}
-	name, err := output(ctx, repository, "git", "rev-parse", "--verify", "--quiet", commit+"^{commit}")
+	name, err := runCommand(ctx, repository, "git", "rev-parse", "--verify", "--quiet", commit+"^{commit}")
 	if err != nil {
 		return "", eris.Wrapf(ErrCommitNotFound, "%s (a shallow clone holds the newest ones only)", commit)
 	}
 	return strings.TrimSpace(string(name)), nil
 }
 
-// output runs a program and returns what it wrote, or an error with what it complained of.
-func output(ctx context.Context, folder, name string, arguments ...string) ([]byte, error) {
+// runCommand runs a program and returns what it wrote, or an error with what it complained of.
+func runCommand(ctx context.Context, folder, name string, arguments ...string) ([]byte, error) {
 	command := exec.CommandContext(ctx, name, arguments...)
 	command.Dir = folder
 	var stderr bytes.Buffer
