--- a/internal/lab/earlier/earlier_test.go
+++ b/internal/lab/earlier/earlier_test.go
@@ -16,8 +16,8 @@
 		t.Helper()
 		command := exec.Command("git", append([]string{"-c", "user.name=t", "-c", "user.email=t@example.org"}, arguments...)...)
 		command.Dir = folder
-		if said, err := command.CombinedOutput(); err != nil {
-			t.Fatalf("git %v: %v\n%s", arguments, err, said)
+		if output, err := command.CombinedOutput(); err != nil {
+			t.Fatalf("git %v: %v\n%s", arguments, err, output)
 		}
 	}
 	write := func(name, text string) {
