--- a/internal/lab/earlier/earlier_test.go
+++ b/internal/lab/earlier/earlier_test.go
@@ -50,8 +50,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if said, err := exec.Command(program).CombinedOutput(); err != nil || string(said) != wanted {
-				t.Fatalf("%s says %q, %v", commit, said, err)
+			if output, err := exec.Command(program).CombinedOutput(); err != nil || string(output) != wanted {
+				t.Fatalf("%s says %q, %v", commit, output, err)
 			}
 		}
 	}
