--- a/internal/lab/earlier/earlier_test.go
+++ b/internal/lab/earlier/earlier_test.go
@@ -32,10 +32,10 @@
 	}
 	git("init", "--quiet", "--initial-branch=main")
 	write("go.mod", "module example\n\ngo 1.26\n")
-	for _, which := range []string{"first", "second"} {
-		write("cmd/tell/main.go", "package main\n\nfunc main() { println(\""+which+"\") }\n")
+	for _, label := range []string{"first", "second"} {
+		write("cmd/tell/main.go", "package main\n\nfunc main() { println(\""+label+"\") }\n")
 		git("add", ".")
-		git("commit", "--quiet", "-m", which)
+		git("commit", "--quiet", "-m", label)
 	}
 	write("cmd/tell/main.go", "not a program any more")
 	return folder
