--- a/internal/lab/earlier/earlier_test.go
+++ b/internal/lab/earlier/earlier_test.go
@@ -44,13 +44,13 @@
 // TestEarlierCommitIsBuilt: as it was, beside a work tree that doesn't build.
 func TestEarlierCommitIsBuilt(t *testing.T) {
 	repository, programs := newRepository(t), t.TempDir()
-	for commit, wanted := range map[string]string{"HEAD~1": "first\n", "HEAD": "second\n"} {
+	for commit, want := range map[string]string{"HEAD~1": "first\n", "HEAD": "second\n"} {
 		for range 2 { // built, and used again
 			program, err := Build(t.Context(), repository, commit, "cmd/tell", programs)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if output, err := exec.Command(program).CombinedOutput(); err != nil || string(output) != wanted {
+			if output, err := exec.Command(program).CombinedOutput(); err != nil || string(output) != want {
 				t.Fatalf("%s says %q, %v", commit, output, err)
 			}
 		}
