--- a/internal/lab/earlier/earlier_test.go
+++ b/internal/lab/earlier/earlier_test.go
@@ -63,9 +63,9 @@
 	if _, err := Build(t.Context(), repository, "0123456789abcdef", "cmd/tell", programs); !errors.Is(err, ErrCommitNotFound) {
 		t.Fatalf("a commit that isn't there: %v", err)
 	}
-	for _, row := range [][2]string{{"", "cmd/tell"}, {"--help", "cmd/tell"}, {"HEAD", "cmd/none"}} {
-		if _, err := Build(t.Context(), repository, row[0], row[1], programs); err == nil || errors.Is(err, ErrCommitNotFound) {
-			t.Fatalf("%v: %v", row, err)
+	for _, arguments := range [][2]string{{"", "cmd/tell"}, {"--help", "cmd/tell"}, {"HEAD", "cmd/none"}} {
+		if _, err := Build(t.Context(), repository, arguments[0], arguments[1], programs); err == nil || errors.Is(err, ErrCommitNotFound) {
+			t.Fatalf("%v: %v", arguments, err)
 		}
 	}
 	if left, err := filepath.Glob(filepath.Join(programs, "*")); err != nil || len(left) > 0 {
