--- a/internal/lab/earlier/earlier_test.go
+++ b/internal/lab/earlier/earlier_test.go
@@ -41,8 +41,8 @@
 	return folder
 }
 
-// TestEarlierCommitIsBuilt: as it was, beside a work tree that doesn't build.
-func TestEarlierCommitIsBuilt(t *testing.T) {
+// TestBuildUsesTheCommitAndNotTheWorkTree: as it was, beside a work tree that doesn't build.
+func TestBuildUsesTheCommitAndNotTheWorkTree(t *testing.T) {
 	repository, programs := newRepository(t), t.TempDir()
 	for commit, want := range map[string]string{"HEAD~1": "first\n", "HEAD": "second\n"} {
 		for range 2 { // built, and used again
