--- a/internal/lab/earlier/earlier_test.go
+++ b/internal/lab/earlier/earlier_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestWhatCannotBeBuiltIsSaid: a commit that isn't there, as in a shallow clone, a name that is none, and a package that isn't there.
-func TestWhatCannotBeBuiltIsSaid(t *testing.T) {
+// TestBuildErrors: a commit that isn't there, as in a shallow clone, a name that is none, and a package that isn't there.
+func TestBuildErrors(t *testing.T) {
 	repository, programs := newRepository(t), t.TempDir()
 	if _, err := Build(t.Context(), repository, "0123456789abcdef", "cmd/tell", programs); !errors.Is(err, ErrCommitNotFound) {
 		t.Fatalf("a commit that isn't there: %v", err)
