--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -29,8 +29,8 @@
 // TestReadLinesExtractsLossesAndRecomputes: what was served in time is left out, causes lose their addresses, broken lines are counted.
 func TestReadLinesExtractsLossesAndRecomputes(t *testing.T) {
 	summary, err := ReadLines(strings.NewReader(sampleLog))
-	if err != nil || summary.Broken != 1 {
-		t.Fatalf("%d broken lines, error %v", summary.Broken, err)
+	if err != nil || summary.MalformedLines != 1 {
+		t.Fatalf("%d broken lines, error %v", summary.MalformedLines, err)
 	}
 	days := []Day{{Name: "d", Worth: 0.5, LogSummary: summary, RecomputedTokens: 8000, Losses: []Loss{{"part a", 0.2}, {"price of b", 0.3}}}}
 	var out bytes.Buffer
--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -37,9 +37,9 @@
 
 // LogSummary is what the lines of a log tell.
 type LogSummary struct {
-	Events     []Event
-	Recomputes []Recompute
-	Broken     int // objects that can't be read: cut short, or of something else
+	Events         []Event
+	Recomputes     []Recompute
+	MalformedLines int // objects that can't be read: cut short, or of something else
 }
 
 // ReadLines reads a day's log. Each line is an object as the processes write it, behind a time in seconds and
@@ -55,7 +55,7 @@
 		}
 		var line logLine
 		if json.Unmarshal([]byte("{"+object), &line) != nil {
-			summary.Broken++
+			summary.MalformedLines++
 			continue
 		}
 		if first.IsZero() {
--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -38,8 +38,8 @@
 	}
 	printRecomputes(w, days, length)
 	for _, d := range days {
-		if d.Broken > 0 {
-			fmt.Fprintf(w, "\n%d lines of %s can't be read: cut short, or of something else\n", d.Broken, d.Name)
+		if d.MalformedLines > 0 {
+			fmt.Fprintf(w, "\n%d lines of %s can't be read: cut short, or of something else\n", d.MalformedLines, d.Name)
 		}
 	}
 	intervals := ByInterval(days, length)
