--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -152,22 +152,22 @@
 func (g *Generator) fresh() Prompt {
 	traffic := g.deployment.Traffic
 	owner := g.pickTenant()
-	prompt := Prompt{At: g.now, Zone: owner.zone, Tenant: owner.name, MaxTokens: g.around(traffic.LongAnswerTokens)}
+	prompt := Prompt{At: g.now, Zone: owner.zone, Tenant: owner.name, MaxTokens: g.jittered(traffic.LongAnswerTokens)}
 	base := owner.preamble + owner.template(g.pickTemplate(), traffic.TemplateTokens)
 	if g.random.Float64() < traffic.ShortShare {
-		prompt.Short, prompt.MaxTokens = true, g.around(traffic.ShortAnswerTokens)
+		prompt.Short, prompt.MaxTokens = true, g.jittered(traffic.ShortAnswerTokens)
 		prompt.Text = base + g.question(traffic.ShortTokens)
 		return prompt
 	}
 	g.documents++
-	document := base + filler(fmt.Sprintf("document %d of %s", g.documents, owner.name), g.around(traffic.DocumentTokens))
+	document := base + filler(fmt.Sprintf("document %d of %s", g.documents, owner.name), g.jittered(traffic.DocumentTokens))
 	prompt.Text = document + g.question(traffic.QuestionTokens)
-	g.plan(prompt, document, g.now, g.around(traffic.QuestionsPerDoc)-1)
+	g.plan(prompt, document, g.now, g.jittered(traffic.QuestionsPerDoc)-1)
 	return prompt
 }
 
-// around returns a number between half and one and a half times the mean.
-func (g *Generator) around(mean int) int {
+// jittered returns a number between half and one and a half times the mean.
+func (g *Generator) jittered(mean int) int {
 	return max(1, mean/2+g.random.IntN(max(1, mean)))
 }
 
