--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -31,7 +31,7 @@
 	now        time.Duration
 	rate       float64
 	tenants    []tenant
-	shift      int // raised at each shift: other templates become hot
+	hotShifts  int // raised at each shift: other templates become hot
 	followUps  []followUp
 	documents  int
 	day        time.Duration // length of a day when demand follows the sun; 0 is none
@@ -81,7 +81,7 @@
 }
 
 // Shift makes other templates hot, as at the start of transcript season or a shift change.
-func (g *Generator) Shift() { g.shift++ }
+func (g *Generator) Shift() { g.hotShifts++ }
 
 // FollowSun makes demand move from zone to zone once in a day of the given length: a zone has its whole demand at
 // noon and none at midnight.
@@ -204,8 +204,8 @@
 	at := g.random.Float64() * total
 	for rank := 1; rank <= count; rank++ {
 		if at -= math.Pow(float64(rank), -g.deployment.Traffic.HotExponent); at < 0 {
-			return rank + g.shift*count
+			return rank + g.hotShifts*count
 		}
 	}
-	return count + g.shift*count
+	return count + g.hotShifts*count
 }
