--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -34,7 +34,7 @@
 	hotShifts  int // raised at each shift: other templates become hot
 	followUps  []followUp
 	documents  int
-	day        time.Duration // length of a day when demand follows the sun; 0 is none
+	dayLength  time.Duration // length of a day when demand follows the sun; 0 is none
 }
 
 // tenant is the state of one tenant's callers.
@@ -85,15 +85,15 @@
 
 // FollowSun makes demand move from zone to zone once in a day of the given length: a zone has its whole demand at
 // noon and none at midnight.
-func (g *Generator) FollowSun(day time.Duration) { g.day = day }
+func (g *Generator) FollowSun(day time.Duration) { g.dayLength = day }
 
 // daylight is the share of a zone's demand at the present time.
 func (g *Generator) daylight(zone string) float64 {
-	if g.day == 0 {
+	if g.dayLength == 0 {
 		return 1
 	}
 	at := slices.Index(g.deployment.Zones, zone)
-	turn := g.now.Seconds()/g.day.Seconds() + float64(at)/float64(len(g.deployment.Zones))
+	turn := g.now.Seconds()/g.dayLength.Seconds() + float64(at)/float64(len(g.deployment.Zones))
 	return (1 - math.Cos(2*math.Pi*turn)) / 2
 }
 
