--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -48,10 +48,10 @@
 
 // followUp is a later question about a document that was asked about before.
 type followUp struct {
-	at     time.Duration
-	prompt Prompt
-	prefix string
-	left   int
+	at        time.Duration
+	prompt    Prompt
+	prefix    string
+	remaining int
 }
 
 // New returns a generator. scale multiplies the deployment's request rate.
@@ -132,7 +132,7 @@
 	prompt := due.prompt
 	prompt.At = due.at
 	prompt.Text = due.prefix + g.question(g.deployment.Traffic.QuestionTokens)
-	g.plan(due.prompt, due.prefix, due.at, due.left-1)
+	g.plan(due.prompt, due.prefix, due.at, due.remaining-1)
 	return prompt, true
 }
 
@@ -142,7 +142,7 @@
 		return
 	}
 	gap := time.Duration((0.5 + g.random.Float64()) * float64(g.deployment.Traffic.QuestionGap))
-	g.followUps = append(g.followUps, followUp{at: after + gap, prompt: prompt, prefix: documentPrefix, left: left})
+	g.followUps = append(g.followUps, followUp{at: after + gap, prompt: prompt, prefix: documentPrefix, remaining: left})
 }
 
 func (g *Generator) question(tokens int) string {
