--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -60,10 +60,10 @@
 		deployment: deployment, random: rand.New(rand.NewPCG(seed, 7)),
 		rate: deployment.Traffic.RequestsPerSecond * scale,
 	}
-	for i, listed := range deployment.Tenants {
+	for i, spec := range deployment.Tenants {
 		g.tenants = append(g.tenants, tenant{
-			name: listed.Name, share: listed.Share, zone: deployment.Zones[i%len(deployment.Zones)],
-			preamble: filler(fmt.Sprintf("preamble of %s", listed.Name), deployment.Traffic.PreambleTokens),
+			name: spec.Name, share: spec.Share, zone: deployment.Zones[i%len(deployment.Zones)],
+			preamble: filler(fmt.Sprintf("preamble of %s", spec.Name), deployment.Traffic.PreambleTokens),
 			texts:    map[int]string{},
 		})
 	}
