--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -63,15 +63,15 @@
 	for i, spec := range deployment.Tenants {
 		g.tenants = append(g.tenants, tenant{
 			name: spec.Name, share: spec.Share, zone: deployment.Zones[i%len(deployment.Zones)],
-			preamble: filler(fmt.Sprintf("preamble of %s", spec.Name), deployment.Traffic.PreambleTokens),
+			preamble: fillerText(fmt.Sprintf("preamble of %s", spec.Name), deployment.Traffic.PreambleTokens),
 			texts:    map[int]string{},
 		})
 	}
 	return g
 }
 
-// filler returns text of a length in tokens that is unlike any other text with another label.
-func filler(label string, tokens int) string {
+// fillerText returns text of a length in tokens that is unlike any other text with another label.
+func fillerText(label string, tokens int) string {
 	size := tokens * prefix.BytesPerToken
 	var text strings.Builder
 	for line := 0; text.Len() < size; line++ {
@@ -146,7 +146,7 @@
 }
 
 func (g *Generator) question(tokens int) string {
-	return filler(fmt.Sprintf("question %x", g.random.Uint64()), tokens)
+	return fillerText(fmt.Sprintf("question %x", g.random.Uint64()), tokens)
 }
 
 func (g *Generator) fresh() Prompt {
@@ -160,7 +160,7 @@
 		return prompt
 	}
 	g.documents++
-	document := base + filler(fmt.Sprintf("document %d of %s", g.documents, owner.name), g.jittered(traffic.DocumentTokens))
+	document := base + fillerText(fmt.Sprintf("document %d of %s", g.documents, owner.name), g.jittered(traffic.DocumentTokens))
 	prompt.Text = document + g.question(traffic.QuestionTokens)
 	g.plan(prompt, document, g.now, g.jittered(traffic.QuestionsPerDoc)-1)
 	return prompt
@@ -174,7 +174,7 @@
 func (t *tenant) template(number, tokens int) string {
 	text, made := t.texts[number]
 	if !made {
-		text = filler(fmt.Sprintf("template %d of %s", number, t.name), tokens)
+		text = fillerText(fmt.Sprintf("template %d of %s", number, t.name), tokens)
 		t.texts[number] = text
 	}
 	return text
