--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -94,7 +94,7 @@
 	r.clock.After(time.Second, r.send)
 	if options.Disturbed {
 		r.clock.After(options.crashAt(), r.crash)
-		r.clock.After(options.shiftAt(), r.traffic.Shift)
+		r.clock.After(options.shiftAt(), r.traffic.ShiftHotTemplates)
 	}
 	for r.clock.Step(options.length()) {
 	}
--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -80,8 +80,8 @@
 	return text.String()[:size]
 }
 
-// Shift makes other templates hot, as at the start of transcript season or a shift change.
-func (g *Generator) Shift() { g.hotShifts++ }
+// ShiftHotTemplates makes other templates hot, as at the start of transcript season or a shift change.
+func (g *Generator) ShiftHotTemplates() { g.hotShifts++ }
 
 // FollowSun makes demand move from zone to zone once in a day of the given length: a zone has its whole demand at
 // noon and none at midnight.
