--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -87,8 +87,8 @@
 // noon and none at midnight.
 func (g *Generator) FollowSun(day time.Duration) { g.dayLength = day }
 
-// daylight is the share of a zone's demand at the present time.
-func (g *Generator) daylight(zone string) float64 {
+// demandFactor is the share of a zone's demand at the present time.
+func (g *Generator) demandFactor(zone string) float64 {
 	if g.dayLength == 0 {
 		return 1
 	}
@@ -183,11 +183,11 @@
 func (g *Generator) pickTenant() *tenant {
 	total := 0.0
 	for i := range g.tenants {
-		total += g.tenants[i].share * g.daylight(g.tenants[i].zone)
+		total += g.tenants[i].share * g.demandFactor(g.tenants[i].zone)
 	}
 	at := g.random.Float64() * total
 	for i := range g.tenants {
-		if at -= g.tenants[i].share * g.daylight(g.tenants[i].zone); at < 0 {
+		if at -= g.tenants[i].share * g.demandFactor(g.tenants[i].zone); at < 0 {
 			return &g.tenants[i]
 		}
 	}
