--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -92,8 +92,8 @@
 	if g.dayLength == 0 {
 		return 1
 	}
-	at := slices.Index(g.deployment.Zones, zone)
-	turn := g.now.Seconds()/g.dayLength.Seconds() + float64(at)/float64(len(g.deployment.Zones))
+	zoneIndex := slices.Index(g.deployment.Zones, zone)
+	turn := g.now.Seconds()/g.dayLength.Seconds() + float64(zoneIndex)/float64(len(g.deployment.Zones))
 	return (1 - math.Cos(2*math.Pi*turn)) / 2
 }
 
