--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -93,8 +93,8 @@
 		return 1
 	}
 	zoneIndex := slices.Index(g.deployment.Zones, zone)
-	turn := g.now.Seconds()/g.dayLength.Seconds() + float64(zoneIndex)/float64(len(g.deployment.Zones))
-	return (1 - math.Cos(2*math.Pi*turn)) / 2
+	dayFraction := g.now.Seconds()/g.dayLength.Seconds() + float64(zoneIndex)/float64(len(g.deployment.Zones))
+	return (1 - math.Cos(2*math.Pi*dayFraction)) / 2
 }
 
 // Next returns the next prompt in order of time.
