--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -99,7 +99,7 @@
 
 // Next returns the next prompt in order of time.
 func (g *Generator) Next() Prompt {
-	gap := time.Duration(g.random.ExpFloat64() / g.firstRate() * float64(time.Second))
+	gap := time.Duration(g.random.ExpFloat64() / g.initialRequestRate() * float64(time.Second))
 	next := g.now + gap
 	if due, found := g.dueFollowUp(next); found {
 		g.now = max(g.now, due.At)
@@ -109,8 +109,8 @@
 	return g.fresh()
 }
 
-// firstRate is the rate of requests that are not follow-ups, so that the total is the wanted rate.
-func (g *Generator) firstRate() float64 {
+// initialRequestRate is the rate of requests that are not follow-ups, so that the total is the wanted rate.
+func (g *Generator) initialRequestRate() float64 {
 	traffic := g.deployment.Traffic
 	perFirst := 1 + (1-traffic.ShortShare)*float64(max(0, traffic.QuestionsPerDoc-1))
 	return g.rate / perFirst
