--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -112,8 +112,8 @@
 // initialRequestRate is the rate of requests that are not follow-ups, so that the total is the wanted rate.
 func (g *Generator) initialRequestRate() float64 {
 	traffic := g.deployment.Traffic
-	perFirst := 1 + (1-traffic.ShortShare)*float64(max(0, traffic.QuestionsPerDoc-1))
-	return g.rate / perFirst
+	requestsPerInitial := 1 + (1-traffic.ShortShare)*float64(max(0, traffic.QuestionsPerDoc-1))
+	return g.rate / requestsPerInitial
 }
 
 func (g *Generator) dueFollowUp(by time.Duration) (Prompt, bool) {
