--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -101,7 +101,7 @@
 func (g *Generator) Next() Prompt {
 	gap := time.Duration(g.random.ExpFloat64() / g.initialRequestRate() * float64(time.Second))
 	next := g.now + gap
-	if due, found := g.dueFollowUp(next); found {
+	if due, found := g.takeDueFollowUp(next); found {
 		g.now = max(g.now, due.At)
 		return due
 	}
@@ -116,7 +116,7 @@
 	return g.rate / requestsPerInitial
 }
 
-func (g *Generator) dueFollowUp(by time.Duration) (Prompt, bool) {
+func (g *Generator) takeDueFollowUp(by time.Duration) (Prompt, bool) {
 	best := -1
 	for i := range g.followUps {
 		if g.followUps[i].at <= by && (best < 0 || g.followUps[i].at < g.followUps[best].at) {
