--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -117,17 +117,17 @@
 }
 
 func (g *Generator) takeDueFollowUp(by time.Duration) (Prompt, bool) {
-	best := -1
+	earliest := -1
 	for i := range g.followUps {
-		if g.followUps[i].at <= by && (best < 0 || g.followUps[i].at < g.followUps[best].at) {
-			best = i
+		if g.followUps[i].at <= by && (earliest < 0 || g.followUps[i].at < g.followUps[earliest].at) {
+			earliest = i
 		}
 	}
-	if best < 0 {
+	if earliest < 0 {
 		return Prompt{}, false
 	}
-	due := g.followUps[best]
-	g.followUps[best] = g.followUps[len(g.followUps)-1]
+	due := g.followUps[earliest]
+	g.followUps[earliest] = g.followUps[len(g.followUps)-1]
 	g.followUps = g.followUps[:len(g.followUps)-1]
 	prompt := due.prompt
 	prompt.At = due.at
