--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -106,7 +106,7 @@
 		return due
 	}
 	g.now = next
-	return g.fresh()
+	return g.initialPrompt()
 }
 
 // initialRequestRate is the rate of requests that are not follow-ups, so that the total is the wanted rate.
@@ -149,7 +149,7 @@
 	return fillerText(fmt.Sprintf("question %x", g.random.Uint64()), tokens)
 }
 
-func (g *Generator) fresh() Prompt {
+func (g *Generator) initialPrompt() Prompt {
 	traffic := g.deployment.Traffic
 	owner := g.pickTenant()
 	prompt := Prompt{At: g.now, Zone: owner.zone, Tenant: owner.name, MaxTokens: g.jittered(traffic.LongAnswerTokens)}
