--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -132,12 +132,12 @@
 	prompt := due.prompt
 	prompt.At = due.at
 	prompt.Text = due.prefix + g.question(g.deployment.Traffic.QuestionTokens)
-	g.plan(due.prompt, due.prefix, due.at, due.remaining-1)
+	g.scheduleFollowUp(due.prompt, due.prefix, due.at, due.remaining-1)
 	return prompt, true
 }
 
-// plan schedules the next question about a document.
-func (g *Generator) plan(prompt Prompt, documentPrefix string, after time.Duration, left int) {
+// scheduleFollowUp schedules the next question about a document.
+func (g *Generator) scheduleFollowUp(prompt Prompt, documentPrefix string, after time.Duration, left int) {
 	if left <= 0 {
 		return
 	}
@@ -162,7 +162,7 @@
 	g.documents++
 	document := base + fillerText(fmt.Sprintf("document %d of %s", g.documents, owner.name), g.jittered(traffic.DocumentTokens))
 	prompt.Text = document + g.question(traffic.QuestionTokens)
-	g.plan(prompt, document, g.now, g.jittered(traffic.QuestionsPerDoc)-1)
+	g.scheduleFollowUp(prompt, document, g.now, g.jittered(traffic.QuestionsPerDoc)-1)
 	return prompt
 }
 
