--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -137,12 +137,12 @@
 }
 
 // scheduleFollowUp schedules the next question about a document.
-func (g *Generator) scheduleFollowUp(prompt Prompt, documentPrefix string, after time.Duration, left int) {
-	if left <= 0 {
+func (g *Generator) scheduleFollowUp(prompt Prompt, documentPrefix string, after time.Duration, remaining int) {
+	if remaining <= 0 {
 		return
 	}
 	gap := time.Duration((0.5 + g.random.Float64()) * float64(g.deployment.Traffic.QuestionGap))
-	g.followUps = append(g.followUps, followUp{at: after + gap, prompt: prompt, prefix: documentPrefix, remaining: left})
+	g.followUps = append(g.followUps, followUp{at: after + gap, prompt: prompt, prefix: documentPrefix, remaining: remaining})
 }
 
 func (g *Generator) question(tokens int) string {
