--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -131,7 +131,7 @@
 	g.followUps = g.followUps[:len(g.followUps)-1]
 	prompt := due.prompt
 	prompt.At = due.at
-	prompt.Text = due.prefix + g.question(g.deployment.Traffic.QuestionTokens)
+	prompt.Text = due.prefix + g.questionText(g.deployment.Traffic.QuestionTokens)
 	g.scheduleFollowUp(due.prompt, due.prefix, due.at, due.remaining-1)
 	return prompt, true
 }
@@ -145,7 +145,7 @@
 	g.followUps = append(g.followUps, followUp{at: after + gap, prompt: prompt, prefix: documentPrefix, remaining: remaining})
 }
 
-func (g *Generator) question(tokens int) string {
+func (g *Generator) questionText(tokens int) string {
 	return fillerText(fmt.Sprintf("question %x", g.random.Uint64()), tokens)
 }
 
@@ -156,12 +156,12 @@
 	base := owner.preamble + owner.template(g.pickTemplate(), traffic.TemplateTokens)
 	if g.random.Float64() < traffic.ShortShare {
 		prompt.Short, prompt.MaxTokens = true, g.jittered(traffic.ShortAnswerTokens)
-		prompt.Text = base + g.question(traffic.ShortTokens)
+		prompt.Text = base + g.questionText(traffic.ShortTokens)
 		return prompt
 	}
 	g.documents++
 	document := base + fillerText(fmt.Sprintf("document %d of %s", g.documents, owner.name), g.jittered(traffic.DocumentTokens))
-	prompt.Text = document + g.question(traffic.QuestionTokens)
+	prompt.Text = document + g.questionText(traffic.QuestionTokens)
 	g.scheduleFollowUp(prompt, document, g.now, g.jittered(traffic.QuestionsPerDoc)-1)
 	return prompt
 }
