--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -151,16 +151,16 @@
 
 func (g *Generator) initialPrompt() Prompt {
 	traffic := g.deployment.Traffic
-	owner := g.pickTenant()
-	prompt := Prompt{At: g.now, Zone: owner.zone, Tenant: owner.name, MaxTokens: g.jittered(traffic.LongAnswerTokens)}
-	base := owner.preamble + owner.template(g.pickTemplate(), traffic.TemplateTokens)
+	caller := g.pickTenant()
+	prompt := Prompt{At: g.now, Zone: caller.zone, Tenant: caller.name, MaxTokens: g.jittered(traffic.LongAnswerTokens)}
+	base := caller.preamble + caller.template(g.pickTemplate(), traffic.TemplateTokens)
 	if g.random.Float64() < traffic.ShortShare {
 		prompt.Short, prompt.MaxTokens = true, g.jittered(traffic.ShortAnswerTokens)
 		prompt.Text = base + g.questionText(traffic.ShortTokens)
 		return prompt
 	}
 	g.documents++
-	document := base + fillerText(fmt.Sprintf("document %d of %s", g.documents, owner.name), g.jittered(traffic.DocumentTokens))
+	document := base + fillerText(fmt.Sprintf("document %d of %s", g.documents, caller.name), g.jittered(traffic.DocumentTokens))
 	prompt.Text = document + g.questionText(traffic.QuestionTokens)
 	g.scheduleFollowUp(prompt, document, g.now, g.jittered(traffic.QuestionsPerDoc)-1)
 	return prompt
