--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -172,8 +172,8 @@
 }
 
 func (t *tenant) template(number, tokens int) string {
-	text, made := t.texts[number]
-	if !made {
+	text, cached := t.texts[number]
+	if !cached {
 		text = fillerText(fmt.Sprintf("template %d of %s", number, t.name), tokens)
 		t.texts[number] = text
 	}
