--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -185,9 +185,9 @@
 	for i := range g.tenants {
 		total += g.tenants[i].share * g.demandFactor(g.tenants[i].zone)
 	}
-	at := g.random.Float64() * total
+	draw := g.random.Float64() * total
 	for i := range g.tenants {
-		if at -= g.tenants[i].share * g.demandFactor(g.tenants[i].zone); at < 0 {
+		if draw -= g.tenants[i].share * g.demandFactor(g.tenants[i].zone); draw < 0 {
 			return &g.tenants[i]
 		}
 	}
