--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -153,7 +153,7 @@
 	traffic := g.deployment.Traffic
 	caller := g.pickTenant()
 	prompt := Prompt{At: g.now, Zone: caller.zone, Tenant: caller.name, MaxTokens: g.jittered(traffic.LongAnswerTokens)}
-	base := caller.preamble + caller.template(g.pickTemplate(), traffic.TemplateTokens)
+	base := caller.preamble + caller.templateText(g.pickTemplate(), traffic.TemplateTokens)
 	if g.random.Float64() < traffic.ShortShare {
 		prompt.Short, prompt.MaxTokens = true, g.jittered(traffic.ShortAnswerTokens)
 		prompt.Text = base + g.questionText(traffic.ShortTokens)
@@ -171,7 +171,7 @@
 	return max(1, mean/2+g.random.IntN(max(1, mean)))
 }
 
-func (t *tenant) template(number, tokens int) string {
+func (t *tenant) templateText(number, tokens int) string {
 	text, cached := t.texts[number]
 	if !cached {
 		text = fillerText(fmt.Sprintf("template %d of %s", number, t.name), tokens)
