--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -39,11 +39,11 @@
 
 // tenant is the state of one tenant's callers.
 type tenant struct {
-	name     string
-	zone     string
-	share    float64
-	preamble string
-	texts    map[int]string // template texts
+	name          string
+	zone          string
+	share         float64
+	preamble      string
+	templateTexts map[int]string // template texts
 }
 
 // followUp is a later question about a document that was asked about before.
@@ -63,8 +63,8 @@
 	for i, spec := range deployment.Tenants {
 		g.tenants = append(g.tenants, tenant{
 			name: spec.Name, share: spec.Share, zone: deployment.Zones[i%len(deployment.Zones)],
-			preamble: fillerText(fmt.Sprintf("preamble of %s", spec.Name), deployment.Traffic.PreambleTokens),
-			texts:    map[int]string{},
+			preamble:      fillerText(fmt.Sprintf("preamble of %s", spec.Name), deployment.Traffic.PreambleTokens),
+			templateTexts: map[int]string{},
 		})
 	}
 	return g
@@ -172,10 +172,10 @@
 }
 
 func (t *tenant) templateText(number, tokens int) string {
-	text, cached := t.texts[number]
+	text, cached := t.templateTexts[number]
 	if !cached {
 		text = fillerText(fmt.Sprintf("template %d of %s", number, t.name), tokens)
-		t.texts[number] = text
+		t.templateTexts[number] = text
 	}
 	return text
 }
