--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	folder = "testdata/forms"
+	fixtureDir = "testdata/forms"
 	// production is where the forms lie that the build in production writes.
-	production = folder + "/production"
+	production = fixtureDir + "/production"
 	suffix     = ".golden"
 	// deepest bounds how deep values are filled that hold others of their own type.
 	deepest = 12
@@ -39,7 +39,7 @@
 func CheckValue[T any](t *testing.T, name string, full *T) {
 	t.Helper()
 	text := written(t, full)
-	g := goldie.New(t, goldie.WithFixtureDir(folder), goldie.WithNameSuffix(suffix))
+	g := goldie.New(t, goldie.WithFixtureDir(fixtureDir), goldie.WithNameSuffix(suffix))
 	g.Assert(t, name, text)
 	known(t, name, text, new(T))
 	earlier, err := os.ReadFile(filepath.Join(production, name+suffix))
