--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -18,9 +18,9 @@
 
 const (
 	fixtureDir = "testdata/forms"
-	// production is where the forms lie that the build in production writes.
-	production = fixtureDir + "/production"
-	suffix     = ".golden"
+	// productionDir is where the forms lie that the build in productionDir writes.
+	productionDir = fixtureDir + "/production"
+	suffix        = ".golden"
 	// deepest bounds how deep values are filled that hold others of their own type.
 	deepest = 12
 	// smallMost bounds whole numbers, so that they fit every kind of them.
@@ -42,7 +42,7 @@
 	g := goldie.New(t, goldie.WithFixtureDir(fixtureDir), goldie.WithNameSuffix(suffix))
 	g.Assert(t, name, text)
 	known(t, name, text, new(T))
-	earlier, err := os.ReadFile(filepath.Join(production, name+suffix))
+	earlier, err := os.ReadFile(filepath.Join(productionDir, name+suffix))
 	if os.IsNotExist(err) {
 		return
 	}
