--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -21,8 +21,8 @@
 	// productionDir is where the forms lie that the build in productionDir writes.
 	productionDir = fixtureDir + "/production"
 	suffix        = ".golden"
-	// deepest bounds how deep values are filled that hold others of their own type.
-	deepest = 12
+	// maxDepth bounds how deep values are filled that hold others of their own type.
+	maxDepth = 12
 	// smallMost bounds whole numbers, so that they fit every kind of them.
 	smallMost = 99
 )
@@ -123,7 +123,7 @@
 )
 
 func (f *filler) fill(value reflect.Value, depth int) {
-	if !value.CanSet() || depth > deepest {
+	if !value.CanSet() || depth > maxDepth {
 		return
 	}
 	f.count++
