--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -23,8 +23,8 @@
 	suffix        = ".golden"
 	// maxDepth bounds how deep values are filled that hold others of their own type.
 	maxDepth = 12
-	// smallMost bounds whole numbers, so that they fit every kind of them.
-	smallMost = 99
+	// maxInteger bounds whole numbers, so that they fit every kind of them.
+	maxInteger = 99
 )
 
 // Check checks the form of a type under a name. The file of the build in production may be missing: it didn't know the form then.
@@ -135,9 +135,9 @@
 	case reflect.Bool:
 		value.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		value.SetInt(int64(f.count%smallMost) + 1)
+		value.SetInt(int64(f.count%maxInteger) + 1)
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		value.SetUint(uint64(f.count%smallMost) + 1)
+		value.SetUint(uint64(f.count%maxInteger) + 1)
 	case reflect.Float32, reflect.Float64:
 		value.SetFloat(float64(f.count) + 0.5)
 	case reflect.String:
