--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -41,7 +41,7 @@
 	text := written(t, full)
 	g := goldie.New(t, goldie.WithFixtureDir(fixtureDir), goldie.WithNameSuffix(suffix))
 	g.Assert(t, name, text)
-	known(t, name, text, new(T))
+	checkRoundTrip(t, name, text, new(T))
 	earlier, err := os.ReadFile(filepath.Join(productionDir, name+suffix))
 	if os.IsNotExist(err) {
 		return
@@ -49,11 +49,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	known(t, name+" of the build in production", earlier, new(T))
+	checkRoundTrip(t, name+" of the build in production", earlier, new(T))
 }
 
-// known reads a form and checks that every field of it is known and written again.
-func known(t *testing.T, name string, text []byte, into any) {
+// checkRoundTrip reads a form and checks that every field of it is checkRoundTrip and written again.
+func checkRoundTrip(t *testing.T, name string, text []byte, into any) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
