--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -38,7 +38,7 @@
 // CheckValue is Check of a value that was made otherwise, since its fields can't be set from outside.
 func CheckValue[T any](t *testing.T, name string, full *T) {
 	t.Helper()
-	text := written(t, full)
+	text := encode(t, full)
 	g := goldie.New(t, goldie.WithFixtureDir(fixtureDir), goldie.WithNameSuffix(suffix))
 	g.Assert(t, name, text)
 	checkRoundTrip(t, name, text, new(T))
@@ -65,7 +65,7 @@
 	if err := json.Unmarshal(text, &before); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(written(t, into), &after); err != nil {
+	if err := json.Unmarshal(encode(t, into), &after); err != nil {
 		t.Fatal(err)
 	}
 	if lost := missing("", before, after); lost != "" {
@@ -73,7 +73,7 @@
 	}
 }
 
-func written(t *testing.T, value any) []byte {
+func encode(t *testing.T, value any) []byte {
 	t.Helper()
 	text, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
