--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -68,7 +68,7 @@
 	if err := json.Unmarshal(encode(t, into), &after); err != nil {
 		t.Fatal(err)
 	}
-	if lost := missing("", before, after); lost != "" {
+	if lost := firstDifference("", before, after); lost != "" {
 		t.Errorf("%s: %s", name, lost)
 	}
 }
@@ -82,8 +82,8 @@
 	return append(text, '\n')
 }
 
-// missing returns what of a JSON value another one lacks, or "".
-func missing(path string, value, other any) string {
+// firstDifference returns what of a JSON value another one lacks, or "".
+func firstDifference(path string, value, other any) string {
 	switch typed := value.(type) {
 	case map[string]any:
 		held, _ := other.(map[string]any)
@@ -92,7 +92,7 @@
 			if !there {
 				return path + "/" + key + " is lost"
 			}
-			if lost := missing(path+"/"+key, item, found); lost != "" {
+			if lost := firstDifference(path+"/"+key, item, found); lost != "" {
 				return lost
 			}
 		}
@@ -103,7 +103,7 @@
 			return path + " has another length"
 		}
 		for i, item := range typed {
-			if lost := missing(fmt.Sprint(path, "/", i), item, held[i]); lost != "" {
+			if lost := firstDifference(fmt.Sprint(path, "/", i), item, held[i]); lost != "" {
 				return lost
 			}
 		}
