--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -68,8 +68,8 @@
 	if err := json.Unmarshal(encode(t, into), &after); err != nil {
 		t.Fatal(err)
 	}
-	if lost := firstDifference("", before, after); lost != "" {
-		t.Errorf("%s: %s", name, lost)
+	if difference := firstDifference("", before, after); difference != "" {
+		t.Errorf("%s: %s", name, difference)
 	}
 }
 
