--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -92,8 +92,8 @@
 			if !there {
 				return path + "/" + key + " is lost"
 			}
-			if lost := firstDifference(path+"/"+key, item, found); lost != "" {
-				return lost
+			if difference := firstDifference(path+"/"+key, item, found); difference != "" {
+				return difference
 			}
 		}
 		return ""
