--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -103,8 +103,8 @@
 			return path + " has another length"
 		}
 		for i, item := range typed {
-			if lost := firstDifference(fmt.Sprint(path, "/", i), item, held[i]); lost != "" {
-				return lost
+			if difference := firstDifference(fmt.Sprint(path, "/", i), item, held[i]); difference != "" {
+				return difference
 			}
 		}
 		return ""
