--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -86,9 +86,9 @@
 func firstDifference(path string, value, other any) string {
 	switch typed := value.(type) {
 	case map[string]any:
-		held, _ := other.(map[string]any)
+		otherMap, _ := other.(map[string]any)
 		for key, item := range typed {
-			found, there := held[key]
+			found, there := otherMap[key]
 			if !there {
 				return path + "/" + key + " is lost"
 			}
