--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -98,12 +98,12 @@
 		}
 		return ""
 	case []any:
-		held, _ := other.([]any)
-		if len(held) != len(typed) {
+		otherItems, _ := other.([]any)
+		if len(otherItems) != len(typed) {
 			return path + " has another length"
 		}
 		for i, item := range typed {
-			if difference := firstDifference(fmt.Sprint(path, "/", i), item, held[i]); difference != "" {
+			if difference := firstDifference(fmt.Sprint(path, "/", i), item, otherItems[i]); difference != "" {
 				return difference
 			}
 		}
