--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -88,8 +88,8 @@
 	case map[string]any:
 		otherMap, _ := other.(map[string]any)
 		for key, item := range typed {
-			found, there := otherMap[key]
-			if !there {
+			found, exists := otherMap[key]
+			if !exists {
 				return path + "/" + key + " is lost"
 			}
 			if difference := firstDifference(path+"/"+key, item, found); difference != "" {
