--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -88,11 +88,11 @@
 	case map[string]any:
 		otherMap, _ := other.(map[string]any)
 		for key, item := range typed {
-			found, exists := otherMap[key]
+			otherItem, exists := otherMap[key]
 			if !exists {
 				return path + "/" + key + " is lost"
 			}
-			if difference := firstDifference(path+"/"+key, item, found); difference != "" {
+			if difference := firstDifference(path+"/"+key, item, otherItem); difference != "" {
 				return difference
 			}
 		}
