--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -42,14 +42,14 @@
 	g := goldie.New(t, goldie.WithFixtureDir(fixtureDir), goldie.WithNameSuffix(suffix))
 	g.Assert(t, name, text)
 	checkRoundTrip(t, name, text, new(T))
-	earlier, err := os.ReadFile(filepath.Join(productionDir, name+suffix))
+	productionText, err := os.ReadFile(filepath.Join(productionDir, name+suffix))
 	if os.IsNotExist(err) {
 		return
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkRoundTrip(t, name+" of the build in production", earlier, new(T))
+	checkRoundTrip(t, name+" of the build in production", productionText, new(T))
 }
 
 // checkRoundTrip reads a form and checks that every field of it is checkRoundTrip and written again.
