--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -119,7 +119,7 @@
 type filler struct{ count int }
 
 var (
-	rawJSON = reflect.TypeFor[json.RawMessage]()
+	rawMessageType = reflect.TypeFor[json.RawMessage]()
 )
 
 func (f *filler) fill(value reflect.Value, depth int) {
@@ -127,7 +127,7 @@
 		return
 	}
 	f.count++
-	if value.Type() == rawJSON {
+	if value.Type() == rawMessageType {
 		value.SetBytes([]byte(fmt.Sprint(f.count)))
 		return
 	}
