--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -54,7 +54,7 @@
 			usedAt = append(usedAt, u.at)
 		}
 	}
-	return window.Fullest(usedAt, after)
+	return window.MaxCount(usedAt, after)
 }
 
 // Whatever is lost, delayed, duplicated, paused, partitioned or newly elected, all clients together stay within the
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -40,7 +40,7 @@
 	h := newHarness(t, 2)
 	h.tick(advertisedLimit(engineName(0), rate))
 	sends := h.sendEvery(50*time.Millisecond, 10*time.Second, 2)
-	if most, allowed := window.Fullest(sends[engineName(0)], 0), int(window.Allowed(rate)); most > allowed {
+	if most, allowed := window.MaxCount(sends[engineName(0)], 0), int(window.Allowed(rate)); most > allowed {
 		t.Fatalf("%d requests within %v, want at most %d", most, window.Length, allowed)
 	}
 	if all := len(sends[engineName(0)]) + len(sends[engineName(1)]); all != 200 {
@@ -94,7 +94,7 @@
 				}
 			}
 		}
-		if most, allowed := window.Fullest(sends, 0), window.Allowed(limit); float64(most) > allowed {
+		if most, allowed := window.MaxCount(sends, 0), window.Allowed(limit); float64(most) > allowed {
 			t.Fatalf("%d routers sent %d requests within %v, want at most %.1f", routerCount, most, window.Length, allowed)
 		}
 		if used := float64(len(sends)) / length.Seconds(); len(changes) == 0 && used < 0.8*limit-1/length.Seconds() {
--- a/internal/lab/window/window.go
+++ b/internal/lab/window/window.go
@@ -21,8 +21,8 @@
 	return append(slices.DeleteFunc(times, func(before time.Duration) bool { return before <= at-Length }), at)
 }
 
-// Fullest returns how many of the times, which rise, lie in the fullest of the windows that end at a time or later.
-func Fullest(times []time.Duration, from time.Duration) (most int) {
+// MaxCount returns how many of the times, which rise, lie in the fullest of the windows that end at a time or later.
+func MaxCount(times []time.Duration, from time.Duration) (most int) {
 	first := 0
 	for i, end := range times {
 		for times[first] <= end-Length {
--- a/internal/lab/window/window_test.go
+++ b/internal/lab/window/window_test.go
@@ -31,7 +31,7 @@
 			}
 			counted, kept = max(counted, inside), max(kept, len(held))
 		}
-		if got := Fullest(times, from); got != counted || kept != counted {
+		if got := MaxCount(times, from); got != counted || kept != counted {
 			t.Fatalf("%d, kept %d, wanted %d of %v from %v", got, kept, counted, times, from)
 		}
 	})
