--- a/internal/lab/window/window.go
+++ b/internal/lab/window/window.go
@@ -22,15 +22,15 @@
 }
 
 // MaxCount returns how many of the times, which rise, lie in the fullest of the windows that end at a time or later.
-func MaxCount(times []time.Duration, from time.Duration) (most int) {
+func MaxCount(times []time.Duration, from time.Duration) (maxCount int) {
 	first := 0
 	for i, end := range times {
 		for times[first] <= end-Length {
 			first++
 		}
 		if end >= from {
-			most = max(most, i-first+1)
+			maxCount = max(maxCount, i-first+1)
 		}
 	}
-	return most
+	return maxCount
 }
