--- a/internal/lab/window/window_test.go
+++ b/internal/lab/window/window_test.go
@@ -16,7 +16,7 @@
 		})).Draw(t, "times")
 		slices.Sort(times)
 		from := time.Duration(rapid.IntRange(0, 10).Draw(t, "from")) * time.Second
-		want, kept := 0, 0
+		want, incremental := 0, 0
 		var held []time.Duration
 		for i, end := range times {
 			held = Add(held, end)
@@ -29,10 +29,10 @@
 					inside++
 				}
 			}
-			want, kept = max(want, inside), max(kept, len(held))
+			want, incremental = max(want, inside), max(incremental, len(held))
 		}
-		if got := MaxCount(times, from); got != want || kept != want {
-			t.Fatalf("%d, kept %d, wanted %d of %v from %v", got, kept, want, times, from)
+		if got := MaxCount(times, from); got != want || incremental != want {
+			t.Fatalf("%d, kept %d, wanted %d of %v from %v", got, incremental, want, times, from)
 		}
 	})
 }
