--- a/internal/lab/window/window_test.go
+++ b/internal/lab/window/window_test.go
@@ -17,9 +17,9 @@
 		slices.Sort(times)
 		from := time.Duration(rapid.IntRange(0, 10).Draw(t, "from")) * time.Second
 		want, incremental := 0, 0
-		var held []time.Duration
+		var recent []time.Duration
 		for i, end := range times {
-			held = Add(held, end)
+			recent = Add(recent, end)
 			if end < from {
 				continue
 			}
@@ -29,7 +29,7 @@
 					inside++
 				}
 			}
-			want, incremental = max(want, inside), max(incremental, len(held))
+			want, incremental = max(want, inside), max(incremental, len(recent))
 		}
 		if got := MaxCount(times, from); got != want || incremental != want {
 			t.Fatalf("%d, kept %d, wanted %d of %v from %v", got, incremental, want, times, from)
