--- a/internal/lab/window/window_test.go
+++ b/internal/lab/window/window_test.go
@@ -23,13 +23,13 @@
 			if end < from {
 				continue
 			}
-			inside := 0
+			count := 0
 			for _, at := range times[:i+1] {
 				if at > end-Length {
-					inside++
+					count++
 				}
 			}
-			want, incremental = max(want, inside), max(incremental, len(recent))
+			want, incremental = max(want, count), max(incremental, len(recent))
 		}
 		if got := MaxCount(times, from); got != want || incremental != want {
 			t.Fatalf("%d, kept %d, wanted %d of %v from %v", got, incremental, want, times, from)
