--- a/internal/lab/window/window_test.go
+++ b/internal/lab/window/window_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestFullestCountsEachWindow: against a count of every window by itself, and against windows that are kept as times come in.
-func TestFullestCountsEachWindow(t *testing.T) {
+// TestMaxCountMatchesCountOfEachWindow: against a count of every window by itself, and against windows that are kept as times come in.
+func TestMaxCountMatchesCountOfEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := rapid.SliceOf(rapid.Custom(func(t *rapid.T) time.Duration {
 			return time.Duration(rapid.IntRange(0, 20).Draw(t, "half seconds")) * time.Second / 2
