--- a/internal/lab/vtime/vtime.go
+++ b/internal/lab/vtime/vtime.go
@@ -13,23 +13,23 @@
 	run   func()
 }
 
-// items is a heap by time, then by order of scheduling; it implements heap.Interface.
-type items []item
+// eventHeap is a heap by time, then by order of scheduling; it implements heap.Interface.
+type eventHeap []item
 
-func (q items) Len() int { return len(q) }
-func (q items) Less(i, j int) bool {
+func (q eventHeap) Len() int { return len(q) }
+func (q eventHeap) Less(i, j int) bool {
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
 	return q[i].order < q[j].order
 }
-func (q items) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push adds an item; use heap.Push.
-func (q *items) Push(added any) { *q = append(*q, added.(item)) }
+func (q *eventHeap) Push(added any) { *q = append(*q, added.(item)) }
 
 // Pop removes the last item; use heap.Pop.
-func (q *items) Pop() any {
+func (q *eventHeap) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	old[len(old)-1] = item{}
@@ -40,7 +40,7 @@
 // Clock is a virtual clock with its queue. The zero value stands at 0 with nothing to do.
 type Clock struct {
 	now    time.Duration
-	queue  items
+	queue  eventHeap
 	orders uint64
 }
 
