--- a/internal/lab/vtime/vtime.go
+++ b/internal/lab/vtime/vtime.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// item is something that happens at a time.
-type item struct {
+// event is something that happens at a time.
+type event struct {
 	at    time.Duration
 	order uint64
 	run   func()
 }
 
 // eventHeap is a heap by time, then by order of scheduling; it implements heap.Interface.
-type eventHeap []item
+type eventHeap []event
 
 func (q eventHeap) Len() int { return len(q) }
 func (q eventHeap) Less(i, j int) bool {
@@ -26,13 +26,13 @@
 func (q eventHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push adds an item; use heap.Push.
-func (q *eventHeap) Push(added any) { *q = append(*q, added.(item)) }
+func (q *eventHeap) Push(added any) { *q = append(*q, added.(event)) }
 
 // Pop removes the last item; use heap.Pop.
 func (q *eventHeap) Pop() any {
 	old := *q
 	last := old[len(old)-1]
-	old[len(old)-1] = item{}
+	old[len(old)-1] = event{}
 	*q = old[:len(old)-1]
 	return last
 }
@@ -50,7 +50,7 @@
 // After schedules something; a negative delay counts as none.
 func (c *Clock) After(delay time.Duration, run func()) {
 	c.orders++
-	heap.Push(&c.queue, item{at: c.now + max(0, delay), order: c.orders, run: run})
+	heap.Push(&c.queue, event{at: c.now + max(0, delay), order: c.orders, run: run})
 }
 
 // Step runs the next thing that is due by the end. It returns false when there is none.
@@ -58,7 +58,7 @@
 	if len(c.queue) == 0 || c.queue[0].at > end {
 		return false
 	}
-	next := heap.Pop(&c.queue).(item)
+	next := heap.Pop(&c.queue).(event)
 	c.now = next.at
 	next.run()
 	return true
