--- a/internal/lab/vtime/vtime.go
+++ b/internal/lab/vtime/vtime.go
@@ -8,9 +8,9 @@
 
 // event is something that happens at a time.
 type event struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
 // eventHeap is a heap by time, then by order of scheduling; it implements heap.Interface.
@@ -21,7 +21,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].sequence < q[j].sequence
 }
 func (q eventHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
@@ -50,7 +50,7 @@
 // After schedules something; a negative delay counts as none.
 func (c *Clock) After(delay time.Duration, run func()) {
 	c.orders++
-	heap.Push(&c.queue, event{at: c.now + max(0, delay), order: c.orders, run: run})
+	heap.Push(&c.queue, event{at: c.now + max(0, delay), sequence: c.orders, run: run})
 }
 
 // Step runs the next thing that is due by the end. It returns false when there is none.
