--- a/internal/lab/vtime/vtime.go
+++ b/internal/lab/vtime/vtime.go
@@ -39,9 +39,9 @@
 
 // Clock is a virtual clock with its queue. The zero value stands at 0 with nothing to do.
 type Clock struct {
-	now    time.Duration
-	queue  eventHeap
-	orders uint64
+	now          time.Duration
+	queue        eventHeap
+	lastSequence uint64
 }
 
 // Now returns the virtual time.
@@ -49,8 +49,8 @@
 
 // After schedules something; a negative delay counts as none.
 func (c *Clock) After(delay time.Duration, run func()) {
-	c.orders++
-	heap.Push(&c.queue, event{at: c.now + max(0, delay), sequence: c.orders, run: run})
+	c.lastSequence++
+	heap.Push(&c.queue, event{at: c.now + max(0, delay), sequence: c.lastSequence, run: run})
 }
 
 // Step runs the next thing that is due by the end. It returns false when there is none.
