--- a/internal/lab/vtime/vtime.go
+++ b/internal/lab/vtime/vtime.go
@@ -26,7 +26,7 @@
 func (q eventHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push adds an item; use heap.Push.
-func (q *eventHeap) Push(added any) { *q = append(*q, added.(event)) }
+func (q *eventHeap) Push(e any) { *q = append(*q, e.(event)) }
 
 // Pop removes the last item; use heap.Pop.
 func (q *eventHeap) Pop() any {
