--- a/internal/lab/vtime/vtime.go
+++ b/internal/lab/vtime/vtime.go
@@ -74,11 +74,11 @@
 
 // Set asks for ring at due, but not sooner than soonest from now; it does nothing when the alarm rings by then
 // already. after schedules, as Clock.After does.
-func (a *Alarm) Set(now, due, soonest time.Duration, after func(time.Duration, func()), ring func()) {
+func (a *Alarm) Set(now, due, minDelay time.Duration, after func(time.Duration, func()), ring func()) {
 	if a.at > now && a.at <= due {
 		return
 	}
-	at := max(due, now+soonest)
+	at := max(due, now+minDelay)
 	a.at = at
 	after(at-now, func() {
 		if a.at == at { // otherwise it was set to an earlier time, or belongs to an earlier life
