--- a/internal/lab/vtime/vtime.go
+++ b/internal/lab/vtime/vtime.go
@@ -74,7 +74,7 @@
 
 // Set asks for ring at due, but not sooner than soonest from now; it does nothing when the alarm rings by then
 // already. after schedules, as Clock.After does.
-func (a *Alarm) Set(now, due, minDelay time.Duration, after func(time.Duration, func()), ring func()) {
+func (a *Alarm) Set(now, due, minDelay time.Duration, after func(time.Duration, func()), fire func()) {
 	if a.at > now && a.at <= due {
 		return
 	}
@@ -82,7 +82,7 @@
 	a.at = at
 	after(at-now, func() {
 		if a.at == at { // otherwise it was set to an earlier time, or belongs to an earlier life
-			ring()
+			fire()
 		}
 	})
 }
