--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -106,11 +106,11 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "read deployment file %s", path)
 	}
-	var whole file
-	if faults, _ := node.Decode(data, &whole); len(faults) > 0 {
+	var contents file
+	if faults, _ := node.Decode(data, &contents); len(faults) > 0 {
 		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(faults), node.FormatFaults(faults))
 	}
-	deployment := &whole.Lab
+	deployment := &contents.Lab
 	if deployment.Name == "" || len(deployment.Zones) == 0 || len(deployment.Tenants) == 0 || deployment.Model.Workers < 1 {
 		return nil, eris.Errorf("%s has no complete lab section: name, zones, tenants and model_service are needed", path)
 	}
