--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -107,8 +107,8 @@
 		return nil, eris.Wrapf(err, "read deployment file %s", path)
 	}
 	var contents file
-	if faults, _ := node.Decode(data, &contents); len(faults) > 0 {
-		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(faults), node.FormatFaults(faults))
+	if problems, _ := node.Decode(data, &contents); len(problems) > 0 {
+		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(problems), node.FormatFaults(problems))
 	}
 	deployment := &contents.Lab
 	if deployment.Name == "" || len(deployment.Zones) == 0 || len(deployment.Tenants) == 0 || deployment.Model.Workers < 1 {
