--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -199,11 +199,11 @@
 	count := g.deployment.Traffic.Templates
 	total := 0.0
 	for rank := 1; rank <= count; rank++ {
-		total += math.Pow(float64(rank), -g.deployment.Traffic.HotExponent)
+		total += math.Pow(float64(rank), -g.deployment.Traffic.ZipfExponent)
 	}
 	at := g.random.Float64() * total
 	for rank := 1; rank <= count; rank++ {
-		if at -= math.Pow(float64(rank), -g.deployment.Traffic.HotExponent); at < 0 {
+		if at -= math.Pow(float64(rank), -g.deployment.Traffic.ZipfExponent); at < 0 {
 			return rank + g.hotShifts*count
 		}
 	}
