--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -117,7 +117,7 @@
 	limit := m.run.deployment.Traffic.LongLimit
 	if request.prompt.Short {
 		_ = m.interactive.RecordValue(waited.Microseconds())
-		limit = m.run.deployment.Traffic.InteractiveLimit
+		limit = m.run.deployment.Traffic.InteractiveDeadline
 	}
 	if waited <= limit {
 		m.inTime++
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -76,21 +76,21 @@
 
 // Traffic describes the callers.
 type Traffic struct {
-	RequestsPerSecond float64       `yaml:"requests_per_s"`
-	ShortShare        float64       `yaml:"short_share"` // share of quick questions
-	PreambleTokens    int           `yaml:"preamble_tokens"`
-	Templates         int           `yaml:"templates"` // per tenant
-	TemplateTokens    int           `yaml:"template_tokens"`
-	DocumentTokens    int           `yaml:"document_tokens"` // mean; half to one and a half times this
-	QuestionsPerDoc   int           `yaml:"questions_per_document"`
-	QuestionGap       time.Duration `yaml:"question_gap"` // mean time between questions on one document
-	QuestionTokens    int           `yaml:"question_tokens"`
-	ShortTokens       int           `yaml:"short_tokens"`
-	LongAnswerTokens  int           `yaml:"long_answer_tokens"`
-	ShortAnswerTokens int           `yaml:"short_answer_tokens"`
-	ZipfExponent      float64       `yaml:"hot_exponent"` // Zipf exponent over templates
-	InteractiveLimit  time.Duration `yaml:"interactive_deadline"`
-	LongLimit         time.Duration `yaml:"long_deadline"`
+	RequestsPerSecond   float64       `yaml:"requests_per_s"`
+	ShortShare          float64       `yaml:"short_share"` // share of quick questions
+	PreambleTokens      int           `yaml:"preamble_tokens"`
+	Templates           int           `yaml:"templates"` // per tenant
+	TemplateTokens      int           `yaml:"template_tokens"`
+	DocumentTokens      int           `yaml:"document_tokens"` // mean; half to one and a half times this
+	QuestionsPerDoc     int           `yaml:"questions_per_document"`
+	QuestionGap         time.Duration `yaml:"question_gap"` // mean time between questions on one document
+	QuestionTokens      int           `yaml:"question_tokens"`
+	ShortTokens         int           `yaml:"short_tokens"`
+	LongAnswerTokens    int           `yaml:"long_answer_tokens"`
+	ShortAnswerTokens   int           `yaml:"short_answer_tokens"`
+	ZipfExponent        float64       `yaml:"hot_exponent"` // Zipf exponent over templates
+	InteractiveDeadline time.Duration `yaml:"interactive_deadline"`
+	LongLimit           time.Duration `yaml:"long_deadline"`
 }
 
 // file is the whole deployment file; the tree is read by package settings.
