--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -114,7 +114,7 @@
 	}
 	waited := now - request.sentAt
 	_ = m.all.RecordValue(waited.Microseconds()) // the range covers the whole run
-	limit := m.run.deployment.Traffic.LongLimit
+	limit := m.run.deployment.Traffic.LongDeadline
 	if request.prompt.Short {
 		_ = m.interactive.RecordValue(waited.Microseconds())
 		limit = m.run.deployment.Traffic.InteractiveDeadline
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -90,7 +90,7 @@
 	ShortAnswerTokens   int           `yaml:"short_answer_tokens"`
 	ZipfExponent        float64       `yaml:"hot_exponent"` // Zipf exponent over templates
 	InteractiveDeadline time.Duration `yaml:"interactive_deadline"`
-	LongLimit           time.Duration `yaml:"long_deadline"`
+	LongDeadline        time.Duration `yaml:"long_deadline"`
 }
 
 // file is the whole deployment file; the tree is read by package settings.
