--- a/internal/lab/window/window.go
+++ b/internal/lab/window/window.go
@@ -8,13 +8,13 @@
 
 const (
 	// Length is that of a window. In any of them a back end that names a limit may get factor times what this allows, and slack more.
-	Length     = 4 * time.Second
-	rateFactor = 1.5
-	slack      = 5
+	Length        = 4 * time.Second
+	rateFactor    = 1.5
+	extraRequests = 5
 )
 
 // Allowed returns how many requests may come in any window under a limit, in requests a second.
-func Allowed(limit float64) float64 { return rateFactor*limit*Length.Seconds() + slack }
+func Allowed(limit float64) float64 { return rateFactor*limit*Length.Seconds() + extraRequests }
 
 // Add adds a time, not before the others, and drops those that lie in no window with it.
 func Add(times []time.Duration, at time.Duration) []time.Duration {
