--- a/internal/api/backend.go
+++ b/internal/api/backend.go
@@ -23,24 +23,24 @@
 
 // GenerateRequest is one attempt sent to an engine.
 type GenerateRequest struct {
-	Request      string         `json:"request"`
-	Attempt      core.AttemptID `json:"attempt"`
-	Router       string         `json:"router"`
-	Tenant       string         `json:"tenant"`
-	Prompt       string         `json:"prompt"`
-	Blocks       []prefix.Hash  `json:"blocks"`
-	PromptTokens int            `json:"prompt_tokens"`
-	MaxTokens    int            `json:"max_tokens"`
-	ResumeFrom   int            `json:"resume_from"`
-	Lane         core.Lane      `json:"lane"`
-	Seed         uint64         `json:"seed"`
-	Incarnation  uint64         `json:"incarnation"`
-	Weights      string         `json:"weights"`
-	RelyTokens   int            `json:"rely_tokens"`
-	ImportFrom   string         `json:"import_from,omitempty"`
-	ImportBlocks int            `json:"import_blocks,omitempty"`
-	KeepBlocks   int            `json:"keep_blocks,omitempty"`
-	Vault        string         `json:"vault,omitempty"`
+	Request              string         `json:"request"`
+	Attempt              core.AttemptID `json:"attempt"`
+	Router               string         `json:"router"`
+	Tenant               string         `json:"tenant"`
+	Prompt               string         `json:"prompt"`
+	Blocks               []prefix.Hash  `json:"blocks"`
+	PromptTokens         int            `json:"prompt_tokens"`
+	MaxTokens            int            `json:"max_tokens"`
+	ResumeFrom           int            `json:"resume_from"`
+	Lane                 core.Lane      `json:"lane"`
+	Seed                 uint64         `json:"seed"`
+	Incarnation          uint64         `json:"incarnation"`
+	Weights              string         `json:"weights"`
+	ExpectedCachedTokens int            `json:"rely_tokens"`
+	ImportFrom           string         `json:"import_from,omitempty"`
+	ImportBlocks         int            `json:"import_blocks,omitempty"`
+	VaultBlocks          int            `json:"keep_blocks,omitempty"`
+	Vault                string         `json:"vault,omitempty"`
 }
 
 // GenerateEventKind names an event of an engine's stream.
@@ -55,25 +55,25 @@
 
 // GenerateEvent is one event of an engine's stream (server-sent events with JSON data).
 type GenerateEvent struct {
-	Kind        GenerateEventKind `json:"k"`
-	Attempt     core.AttemptID    `json:"a"`
-	Index       int               `json:"i,omitempty"` // token position, or answer length
-	Text        string            `json:"t,omitempty"`
-	Cached      int               `json:"cached,omitempty"`
-	Imported    int               `json:"imported,omitempty"`
-	Incarnation uint64            `json:"inc,omitempty"`
-	NoReuse     bool              `json:"no_reuse,omitempty"`    // another life or other weights than relied on
-	Kept        int               `json:"kept,omitempty"`        // blocks stored in the vault
-	Limit       *float64          `json:"limit_per_s,omitempty"` // started: requests a second that the engine takes from all routers together
+	Kind            GenerateEventKind `json:"k"`
+	Attempt         core.AttemptID    `json:"a"`
+	Index           int               `json:"i,omitempty"` // token position, or answer length
+	Text            string            `json:"t,omitempty"`
+	Cached          int               `json:"cached,omitempty"`
+	Imported        int               `json:"imported,omitempty"`
+	Incarnation     uint64            `json:"inc,omitempty"`
+	NoReuse         bool              `json:"no_reuse,omitempty"`    // another life or other weights than relied on
+	StoredBlocks    int               `json:"kept,omitempty"`        // blocks stored in the vault
+	AdvertisedLimit *float64          `json:"limit_per_s,omitempty"` // started: requests a second that the engine takes from all routers together
 }
 
-// BackendRefusal is the body of a 503 of a back end that provably did not take the request.
-type BackendRefusal struct {
-	Run          core.RunStatus `json:"run"`
-	Leaving      bool           `json:"leaving,omitempty"`
-	RetryAfterMS int64          `json:"retry_after_ms,omitempty"`
-	Limit        *float64       `json:"limit_per_s,omitempty"` // requests a second that it takes from all routers together; absent names none
-	Incarnation  uint64         `json:"incarnation,omitempty"` // of the life that speaks; 0 it doesn't tell
+// BackendRejection is the body of a 503 of a back end that provably did not take the request.
+type BackendRejection struct {
+	Run             core.RunStatus `json:"run"`
+	Draining        bool           `json:"leaving,omitempty"`
+	RetryAfterMS    int64          `json:"retry_after_ms,omitempty"`
+	AdvertisedLimit *float64       `json:"limit_per_s,omitempty"` // requests a second that it takes from all routers together; absent names none
+	Incarnation     uint64         `json:"incarnation,omitempty"` // of the life that speaks; 0 it doesn't tell
 }
 
 // RunRequest is one attempt sent to a small service.
@@ -88,9 +88,9 @@
 
 // RunResponse is a small service's answer.
 type RunResponse struct {
-	Attempt core.AttemptID  `json:"attempt"`
-	Answer  ledger.Response `json:"answer"`
-	Limit   *float64        `json:"limit_per_s,omitempty"` // requests a second that the service's process takes from all routers together
+	Attempt         core.AttemptID  `json:"attempt"`
+	Response        ledger.Response `json:"answer"`
+	AdvertisedLimit *float64        `json:"limit_per_s,omitempty"` // requests a second that the service's process takes from all routers together
 
 	Incarnation uint64 `json:"incarnation,omitempty"` // of the life that speaks; 0 it doesn't tell
 }
@@ -124,7 +124,7 @@
 
 // KVReply says how many leading blocks are held.
 type KVReply struct {
-	Held int `json:"held"`
+	CachedBlocks int `json:"held"`
 }
 
 // OrderReply says whether an engine took an order, and the highest fence it saw.
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -108,7 +108,7 @@
 	}
 	var contents file
 	if problems, _ := node.Decode(data, &contents); len(problems) > 0 {
-		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(problems), node.FormatFaults(problems))
+		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(problems), node.FormatProblems(problems))
 	}
 	deployment := &contents.Lab
 	if deployment.Name == "" || len(deployment.Zones) == 0 || len(deployment.Tenants) == 0 || deployment.Model.Workers < 1 {
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -18,7 +18,7 @@
 
 const (
 	commandTimeout = 10 * time.Second
-	askAgain       = 100 * time.Millisecond
+	retryInterval  = 100 * time.Millisecond
 	outputJSON     = "json"
 	outputTable    = "table"
 )
@@ -49,52 +49,52 @@
 	return &Command{options: options, client: transport.NewClient(options.AdminToken, nil)}, nil
 }
 
-func splitAddresses(list string) []string {
+func splitList(list string) []string {
 	return strings.FieldsFunc(list, func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-// ask sends a request to the control replicas in turn until one has answered it.
-func (c *Command) ask(request control.Request) (control.Response, error) {
-	addresses := splitAddresses(c.options.Control)
+// send sends a request to the control replicas in turn until one has answered it.
+func (c *Command) send(request control.Request) (control.Response, error) {
+	addresses := splitList(c.options.Control)
 	if len(addresses) == 0 {
 		return control.Response{}, eris.New("no control address; give --control or set KITETILLER_CONTROL")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for ctx.Err() == nil {
 		for _, address := range addresses {
-			response, err := c.askOne(ctx, address, request)
+			response, err := c.sendTo(ctx, address, request)
 			if err == nil && response.Kind == control.ResponseOK {
 				return response, nil
 			}
-			if last = err; err == nil {
-				last = eris.Errorf("%s answered %s", address, response.Kind)
+			if lastErr = err; err == nil {
+				lastErr = eris.Errorf("%s answered %s", address, response.Kind)
 			}
 		}
-		time.Sleep(askAgain)
+		time.Sleep(retryInterval)
 	}
-	return control.Response{}, eris.Wrap(last, "no control replica could decide; the change may or may not have been made, run the command again with the same --operation-id")
+	return control.Response{}, eris.Wrap(lastErr, "no control replica could decide; the change may or may not have been made, run the command again with the same --operation-id")
 }
 
-func (c *Command) askOne(ctx context.Context, address string, request control.Request) (control.Response, error) {
+func (c *Command) sendTo(ctx context.Context, address string, request control.Request) (control.Response, error) {
 	var response control.Response
 	err := c.client.Post(ctx, address, control.PathAdmin, request, &response)
 	return response, err
 }
 
 // emit prints a value as JSON, or calls table.
-func (c *Command) emit(value any, table func(w *tabwriter.Writer)) error {
+func (c *Command) emit(value any, writeTable func(w *tabwriter.Writer)) error {
 	if c.options.Output == outputJSON {
 		encoder := json.NewEncoder(c.options.Out)
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(value)
 	}
 	writer := tabwriter.NewWriter(c.options.Out, 2, 4, 2, ' ', 0)
-	table(writer)
+	writeTable(writer)
 	return writer.Flush()
 }
 
-func (c *Command) print(format string, arguments ...any) {
+func (c *Command) printf(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(c.options.Out, format, arguments...)
 }
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -25,12 +25,12 @@
 	Wait        bool // until the change is in force everywhere
 }
 
-// waitLimit is how long --wait waits.
-const waitLimit = 30 * time.Second
+// inForceTimeout is how long --wait waits.
+const inForceTimeout = 30 * time.Second
 
 // Get prints the settings of one node, or the effective ones and where they come from.
 func (c *Command) Get(path string, effective bool) error {
-	read, err := c.read(false)
+	read, err := c.readSettings(false)
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 	return c.printTree(read, path)
 }
 
-func (c *Command) printTree(read *control.ReadReply, under string) error {
+func (c *Command) printTree(read *control.ReadReply, root string) error {
 	type line struct {
 		Path    settings.Path   `json:"path"`
 		Setting string          `json:"setting"`
@@ -54,7 +54,7 @@
 	}
 	var lines []line
 	for _, path := range read.Tree.Paths() {
-		if under != "/" && path != settings.Path(under) && !strings.HasPrefix(string(path), under+"/") {
+		if root != "/" && path != settings.Path(root) && !strings.HasPrefix(string(path), root+"/") {
 			continue
 		}
 		for _, definition := range settings.Definitions() {
@@ -72,8 +72,8 @@
 	})
 }
 
-func (c *Command) read(history bool) (*control.ReadReply, error) {
-	response, err := c.ask(control.Request{Read: &control.Read{History: history}})
+func (c *Command) readSettings(history bool) (*control.ReadReply, error) {
+	response, err := c.send(control.Request{Read: &control.Read{History: history}})
 	if err != nil {
 		return nil, err
 	}
@@ -98,25 +98,25 @@
 	return quoted
 }
 
-// wantedAndHeld reads a file's tree and the current one.
-func (c *Command) wantedAndHeld(path string) (settings.Tree, *control.ReadReply, error) {
-	wanted, err := ReadTree(path)
+// desiredAndCurrent reads a file's tree and the current one.
+func (c *Command) desiredAndCurrent(path string) (settings.Tree, *control.ReadReply, error) {
+	desired, err := ReadTree(path)
 	if err != nil {
-		return wanted, nil, err
+		return desired, nil, err
 	}
-	read, err := c.read(false)
-	return wanted, read, err
+	read, err := c.readSettings(false)
+	return desired, read, err
 }
 
 // Edit makes the tree equal to a file, in one atomic change.
 func (c *Command) Edit(path string, options ChangeOptions) error {
-	wanted, read, err := c.wantedAndHeld(path)
+	desired, read, err := c.desiredAndCurrent(path)
 	if err != nil {
 		return err
 	}
-	edits := settings.DiffEdits(read.Tree, wanted)
+	edits := settings.DiffEdits(read.Tree, desired)
 	if len(edits) == 0 {
-		c.print("no difference: version %d already equals %s\n", read.Version, path)
+		c.printf("no difference: version %d already equals %s\n", read.Version, path)
 		return nil
 	}
 	if options.Base < 0 {
@@ -127,11 +127,11 @@
 
 // Diff prints what Edit would change.
 func (c *Command) Diff(path string) error {
-	wanted, read, err := c.wantedAndHeld(path)
+	desired, read, err := c.desiredAndCurrent(path)
 	if err != nil {
 		return err
 	}
-	differences := settings.Diff(read.Tree, wanted)
+	differences := settings.Diff(read.Tree, desired)
 	return c.emit(differences, func(w *tabwriter.Writer) { writeDifferences(w, differences) })
 }
 
@@ -155,14 +155,14 @@
 	if err != nil {
 		return err
 	}
-	response, err := c.ask(control.Request{Change: change})
+	response, err := c.send(control.Request{Change: change})
 	if err != nil {
 		return eris.Wrapf(err, "operation %s", change.OperationID)
 	}
 	outcome := response.Change
 	switch outcome.Kind {
 	case settings.OutcomeAccepted:
-		c.print("accepted: version %d\n", outcome.Version)
+		c.printf("accepted: version %d\n", outcome.Version)
 		if options.Wait {
 			return c.waitInForce(outcome.Version)
 		}
@@ -176,14 +176,14 @@
 		return eris.Errorf("operation id %s was used for another change", change.OperationID)
 	}
 	for _, problem := range outcome.Problems {
-		c.print("%s\n", problem)
+		c.printf("%s\n", problem)
 	}
 	return eris.Errorf("invalid: %d problems, nothing was changed", len(outcome.Problems))
 }
 
 func (c *Command) newChange(edits []settings.Edit, options ChangeOptions) (*settings.Change, error) {
 	if options.Base < 0 {
-		read, err := c.read(false)
+		read, err := c.readSettings(false)
 		if err != nil {
 			return nil, err
 		}
@@ -198,21 +198,21 @@
 }
 
 func (c *Command) waitInForce(version uint64) error {
-	deadline := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(inForceTimeout)
 	for time.Now().Before(deadline) {
-		read, err := c.read(false)
+		read, err := c.readSettings(false)
 		if err == nil && read.InForce >= version {
-			c.print("in force everywhere: version %d\n", version)
+			c.printf("in force everywhere: version %d\n", version)
 			return nil
 		}
-		time.Sleep(askAgain)
+		time.Sleep(retryInterval)
 	}
-	return eris.Errorf("version %d is accepted but not yet in force everywhere after %s; see kitetiller status", version, waitLimit)
+	return eris.Errorf("version %d is accepted but not yet in force everywhere after %s; see kitetiller status", version, inForceTimeout)
 }
 
 // History prints the newest accepted changes.
 func (c *Command) History() error {
-	read, err := c.read(true)
+	read, err := c.readSettings(true)
 	if err != nil {
 		return err
 	}
@@ -220,18 +220,18 @@
 		fmt.Fprintln(w, "VERSION\tTIME\tAUTHOR\tOPERATION\tEDITS")
 		for _, entry := range read.History {
 			at := time.UnixMilli(entry.UnixMS).UTC().Format(time.RFC3339)
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", entry.Version, at, orDash(entry.Author), entry.OperationID, summarize(entry.Edits))
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", entry.Version, at, orDash(entry.Author), entry.OperationID, summarizeEdits(entry.Edits))
 		}
 	})
 }
 
-// shownEdits is how many edits of a change the history shows.
-const shownEdits = 3
+// maxShownEdits is how many edits of a change the history shows.
+const maxShownEdits = 3
 
-func summarize(edits []settings.Edit) string {
+func summarizeEdits(edits []settings.Edit) string {
 	var parts []string
 	for i, edit := range edits {
-		if i == shownEdits {
+		if i == maxShownEdits {
 			parts = append(parts, fmt.Sprintf("and %d more", len(edits)-i))
 			break
 		}
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -19,37 +19,37 @@
 
 // SystemStatus is what "status" shows.
 type SystemStatus struct {
-	Control []control.StatusReply `json:"control"`
-	Routers []router.StatusReply  `json:"routers"`
-	Silent  []string              `json:"silent"` // addresses that did not answer
+	Control     []control.StatusReply `json:"control"`
+	Routers     []router.StatusReply  `json:"routers"`
+	Unreachable []string              `json:"silent"` // addresses that did not answer
 }
 
 // Status asks every control replica and router for its view.
 func (c *Command) Status() error {
-	status := c.collect()
+	status := c.collectStatus()
 	return c.emit(status, func(w *tabwriter.Writer) {
 		writeControl(w, status)
 		writeRouters(w, status)
-		for _, address := range status.Silent {
+		for _, address := range status.Unreachable {
 			fmt.Fprintf(w, "%s\tdoes not answer\n", address)
 		}
 	})
 }
 
-func (c *Command) collect() SystemStatus {
+func (c *Command) collectStatus() SystemStatus {
 	var status SystemStatus
-	for _, address := range splitAddresses(c.options.Control) {
+	for _, address := range splitList(c.options.Control) {
 		response, err := c.probeControl(address)
 		if err != nil || response.Status == nil {
-			status.Silent = append(status.Silent, address)
+			status.Unreachable = append(status.Unreachable, address)
 			continue
 		}
 		status.Control = append(status.Control, *response.Status)
 	}
-	for _, address := range splitAddresses(c.options.Routers) {
+	for _, address := range splitList(c.options.Routers) {
 		var reply router.StatusReply
 		if err := c.probe(address, "/admin/v1/status", &reply); err != nil {
-			status.Silent = append(status.Silent, address)
+			status.Unreachable = append(status.Unreachable, address)
 			continue
 		}
 		status.Routers = append(status.Routers, reply)
@@ -60,7 +60,7 @@
 func (c *Command) probeControl(address string) (control.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	return c.askOne(ctx, address, control.Request{Status: &control.StatusRequest{}})
+	return c.sendTo(ctx, address, control.Request{Status: &control.StatusRequest{}})
 }
 
 func (c *Command) probe(address, path string, reply any) error {
@@ -90,17 +90,17 @@
 	for _, reply := range status.Control {
 		if reply.LeaseHeld && len(reply.Named) > 0 {
 			fmt.Fprintln(w, "LIMIT NAMED BY\tA SECOND\tLEFT\tLENT\tREFUSED")
-			for _, l := range reply.Named {
-				fmt.Fprintf(w, "%s\t%.2f\t%.1f\t%.0f\t%.0f\n", l.Name, l.Limit.Rate, l.Level, l.Granted, l.Refused)
+			for _, limit := range reply.Named {
+				fmt.Fprintf(w, "%s\t%.2f\t%.1f\t%.0f\t%.0f\n", limit.Name, limit.Limit.Rate, limit.Level, limit.Granted, limit.Refused)
 			}
 		}
 		if !reply.LeaseHeld || len(reply.Limits) == 0 {
 			continue
 		}
 		fmt.Fprintln(w, "LIMIT\tRATE\tBURST\tLEFT\tLENT\tREFUSED\tOVER\tKEPT BACK")
-		for _, l := range reply.Limits {
-			fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%t\t%.2f\n", l.Name, l.Limit.Rate, l.Limit.Burst, l.Level, l.Granted, l.Refused,
-				l.OverLimit, l.Withheld)
+		for _, limit := range reply.Limits {
+			fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%t\t%.2f\n", limit.Name, limit.Limit.Rate, limit.Limit.Burst, limit.Level, limit.Granted, limit.Refused,
+				limit.OverLimit, limit.Withheld)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 
 // Members prints the control replicas as the leader sees them.
 func (c *Command) Members() error {
-	status := c.collect()
+	status := c.collectStatus()
 	for _, reply := range status.Control {
 		if !reply.LeaseHeld {
 			continue
@@ -145,17 +145,17 @@
 }
 
 // Explain prints the kept decisions about a request, from every router.
-func (c *Command) Explain(request string) error {
+func (c *Command) Explain(requestID string) error {
 	var found []core.Decision
-	for _, address := range splitAddresses(c.options.Routers) {
+	for _, address := range splitList(c.options.Routers) {
 		var decisions []core.Decision
-		if err := c.probe(address, "/admin/v1/explain?request="+url.QueryEscape(request), &decisions); err != nil {
+		if err := c.probe(address, "/admin/v1/explain?request="+url.QueryEscape(requestID), &decisions); err != nil {
 			return eris.Wrapf(err, "ask %s", address)
 		}
 		found = append(found, decisions...)
 	}
 	if len(found) == 0 {
-		return eris.Errorf("no router remembers request %s; each keeps its newest decisions only", request)
+		return eris.Errorf("no router remembers request %s; each keeps its newest decisions only", requestID)
 	}
 	return c.emit(found, func(w *tabwriter.Writer) {
 		for _, decision := range found {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -130,14 +130,14 @@
 // request. The pushback in the answer applies in any case.
 func (a *activeAttempt) parseRefusal(response *http.Response) (pushbackEvent core.EventPushback, event core.EventAttempt) {
 	pushbackEvent = core.EventPushback{Name: a.action.Backend, Incarnation: a.action.Incarnation}
-	var body api.BackendRefusal
+	var body api.BackendRejection
 	err := json.NewDecoder(io.LimitReader(response.Body, maxEventBytes)).Decode(&body)
 	if err != nil {
 		return pushbackEvent, a.event(core.AttemptBroken)
 	}
 	pushbackEvent.Incarnation = a.respondingIncarnation(body.Incarnation)
 	backoffMS := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // avoids overflow of the Duration
-	pushbackEvent.Signals = pushback.Signals{Backoff: time.Duration(backoffMS) * time.Millisecond, Draining: body.Leaving, Limit: advertisedLimit(body.Limit)}
+	pushbackEvent.Signals = pushback.Signals{Backoff: time.Duration(backoffMS) * time.Millisecond, Draining: body.Draining, Limit: advertisedLimit(body.AdvertisedLimit)}
 	if body.Run != core.RunNot {
 		return pushbackEvent, a.event(core.AttemptBroken)
 	}
@@ -201,7 +201,7 @@
 		return
 	}
 	s.post(event)
-	suppressed, due := s.pushbackLogs.Due(s.now(), event.Name)
+	suppressed, due := s.pushbackLogs.Allow(s.now(), event.Name)
 	if !due {
 		return
 	}
@@ -256,8 +256,8 @@
 		s.handleStarted(a, event, out)
 		return false
 	case api.GenerateDone:
-		if event.Kept > 0 {
-			s.post(core.EventVault{Blocks: a.action.Blocks[:min(event.Kept, len(a.action.Blocks))], Held: true})
+		if event.StoredBlocks > 0 {
+			s.post(core.EventVault{Blocks: a.action.Blocks[:min(event.StoredBlocks, len(a.action.Blocks))], Held: true})
 		}
 		out.Kind = core.AttemptDone
 		s.post(out)
@@ -269,7 +269,7 @@
 
 func (s *Server) handleStarted(a *activeAttempt, event api.GenerateEvent, out core.EventAttempt) {
 	out.Kind = core.AttemptStarted
-	out.AdvertisesLimit = s.observeLimit(a, event.Limit, event.Incarnation)
+	out.AdvertisesLimit = s.observeLimit(a, event.AdvertisedLimit, event.Incarnation)
 	s.post(out)
 	s.metrics.recordStarted(a, event)
 	if event.NoReuse {
@@ -307,7 +307,7 @@
 		return
 	}
 	done := a.event(core.AttemptDone)
-	done.AdvertisesLimit = s.observeLimit(a, reply.Limit, reply.Incarnation)
-	done.Echo, done.Answer = reply.Attempt, &reply.Answer
+	done.AdvertisesLimit = s.observeLimit(a, reply.AdvertisedLimit, reply.Incarnation)
+	done.Echo, done.Answer = reply.Attempt, &reply.Response
 	s.post(done)
 }
