--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -15,28 +15,28 @@
 	Name   string
 	Worth  float64 // what was earned of what was owed, less prices; of the reports only
 	Losses []Loss
-	Lines
-	// ReadAgain is how many tokens of shared parts were read again, by the report; 0 without one.
-	ReadAgain float64
+	LogSummary
+	// RecomputedTokens is how many tokens of shared parts were read again, by the report; 0 without one.
+	RecomputedTokens float64
 }
 
-// Read tells of shared parts that a request's engine was expected to read, by the line of its answer.
-type Read struct {
+// Recompute tells of shared parts that a request's engine was expected to read, by the line of its answer.
+type Recompute struct {
 	At     time.Duration // as Event tells it
 	Route  string
 	Cause  string
 	Tokens int
 }
 
-// First is the cause of parts that nobody had read before: not again.
-const First = "first"
+// CauseFirstUse is the cause of parts that nobody had read before: not again.
+const CauseFirstUse = "first"
 
-// ReadsBy returns the tokens a day of shared parts that were expected to be read again, by what a key makes of each.
-func ReadsBy(days []Day, key func(Read) string) []Row {
+// RecomputedTokensBy returns the tokens a day of shared parts that were expected to be read again, by what a key makes of each.
+func RecomputedTokensBy(days []Day, key func(Recompute) string) []Row {
 	sums := map[string]float64{}
 	for _, d := range days {
-		for _, r := range d.Reads {
-			if r.Cause != First {
+		for _, r := range d.Recomputes {
+			if r.Cause != CauseFirstUse {
 				sums[key(r)] += float64(r.Tokens) / float64(len(days))
 			}
 		}
@@ -63,10 +63,10 @@
 
 // Outcomes of requests and attempts.
 const (
-	Refused  Outcome = "refused"        // the gateway answered itself
-	Failed   Outcome = "failed"         // the back end's answer was a failure
-	Late     Outcome = "late"           // served, not within the objective
-	Repeated Outcome = "attempt failed" // an attempt; the request may have been served by another one
+	Rejected      Outcome = "refused"        // the gateway answered itself
+	Failed        Outcome = "failed"         // the back end's answer was a failure
+	Late          Outcome = "late"           // served, not within the objective
+	AttemptFailed Outcome = "attempt failed" // an attempt; the request may have been served by another one
 )
 
 // Row is a line of a table.
@@ -83,16 +83,16 @@
 	for _, value := range sums {
 		total += value
 	}
-	var made []Row
+	var result []Row
 	for _, name := range slices.Sorted(maps.Keys(sums)) {
 		row := Row{Name: name, Value: sums[name], Line: examples[name]}
 		if total > 0 {
 			row.Share = row.Value / total
 		}
-		made = append(made, row)
+		result = append(result, row)
 	}
-	slices.SortStableFunc(made, func(a, b Row) int { return cmp.Compare(b.Value, a.Value) })
-	return made
+	slices.SortStableFunc(result, func(a, b Row) int { return cmp.Compare(b.Value, a.Value) })
+	return result
 }
 
 // ByCause returns the worth lost to each cause, the mean of the days.
@@ -121,46 +121,46 @@
 	return rows(sums, examples)
 }
 
-// Moment is a span of a day with the requests that were lost in it.
-type Moment struct {
-	From   time.Duration
+// Interval is a span of a day with the requests that were lost in it.
+type Interval struct {
+	Start  time.Duration
 	Counts map[Outcome]float64 // a day
 }
 
-// ByMoment returns the spans of a length, rising, without those where nothing was lost.
-func ByMoment(days []Day, span time.Duration) []Moment {
-	found := map[time.Duration]map[Outcome]float64{}
+// ByInterval returns the spans of a length, rising, without those where nothing was lost.
+func ByInterval(days []Day, length time.Duration) []Interval {
+	byStart := map[time.Duration]map[Outcome]float64{}
 	for _, d := range days {
 		for _, e := range d.Events {
-			from := e.At.Truncate(span)
-			if found[from] == nil {
-				found[from] = map[Outcome]float64{}
+			from := e.At.Truncate(length)
+			if byStart[from] == nil {
+				byStart[from] = map[Outcome]float64{}
 			}
-			found[from][e.Outcome] += 1 / float64(len(days))
+			byStart[from][e.Outcome] += 1 / float64(len(days))
 		}
 	}
-	var moments []Moment
-	for _, from := range slices.Sorted(maps.Keys(found)) {
-		moments = append(moments, Moment{From: from, Counts: found[from]})
+	var intervals []Interval
+	for _, from := range slices.Sorted(maps.Keys(byStart)) {
+		intervals = append(intervals, Interval{Start: from, Counts: byStart[from]})
 	}
-	return moments
+	return intervals
 }
 
-// Pair is a day that was played twice, by two states of the code.
-type Pair struct {
+// DayComparison is a day that was played twice, by two states of the code.
+type DayComparison struct {
 	Name          string
 	Before, After float64 // worth
 }
 
-// Pairs returns the days of the same name in two sets.
-func Pairs(before, after []Day) []Pair {
-	var pairs []Pair
+// CompareDays returns the days of the same name in two sets.
+func CompareDays(before, after []Day) []DayComparison {
+	var comparisons []DayComparison
 	for _, b := range before {
-		at := slices.IndexFunc(after, func(a Day) bool { return a.Name == b.Name })
-		if at >= 0 {
-			pairs = append(pairs, Pair{Name: b.Name, Before: b.Worth, After: after[at].Worth})
+		i := slices.IndexFunc(after, func(a Day) bool { return a.Name == b.Name })
+		if i >= 0 {
+			comparisons = append(comparisons, DayComparison{Name: b.Name, Before: b.Worth, After: after[i].Worth})
 		}
 	}
-	slices.SortFunc(pairs, func(a, b Pair) int { return strings.Compare(a.Name, b.Name) })
-	return pairs
+	slices.SortFunc(comparisons, func(a, b DayComparison) int { return strings.Compare(a.Name, b.Name) })
+	return comparisons
 }
--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -11,8 +11,8 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// log is gathered from two processes; the second half is as one process writes it.
-const log = `  -0.5000 g1 {"level":"info","time":"2026-01-01T00:00:00Z","msg":"gateway started"}
+// sampleLog is gathered from two processes; the second half is as one process writes it.
+const sampleLog = `  -0.5000 g1 {"level":"info","time":"2026-01-01T00:00:00Z","msg":"gateway started"}
    1.2500 g1 {"level":"info","time":"2026-01-01T00:00:01.75Z","msg":"request refused","request":"a","status":503,"reason":"no-backend"}
    1.9000 g2 {"level":"info","time":"2026-01-01T00:00:02.4Z","msg":"attempt failed","request":"b","result":"unreached","cause":"dial tcp 10.1.0.2:80: i/o timeout"}
    3.0000 g2 {"level":"info","time":"2026-01-01T00:00:03.5Z","msg":"attempt failed","request":"c","result":"unreached","cause":"dial tcp 10.1.0.9:81: i/o timeout"}
@@ -26,37 +26,37 @@
 no object at all
 `
 
-// TestLinesBecomeEvents: what was served in time is left out, causes lose their addresses, broken lines are counted.
-func TestLinesBecomeEvents(t *testing.T) {
-	found, err := ReadLines(strings.NewReader(log))
-	if err != nil || found.Broken != 1 {
-		t.Fatalf("%d broken lines, error %v", found.Broken, err)
+// TestReadLinesExtractsLossesAndRecomputes: what was served in time is left out, causes lose their addresses, broken lines are counted.
+func TestReadLinesExtractsLossesAndRecomputes(t *testing.T) {
+	summary, err := ReadLines(strings.NewReader(sampleLog))
+	if err != nil || summary.MalformedLines != 1 {
+		t.Fatalf("%d broken lines, error %v", summary.MalformedLines, err)
 	}
-	days := []Day{{Name: "d", Worth: 0.5, Lines: found, ReadAgain: 8000, Losses: []Loss{{"part a", 0.2}, {"price of b", 0.3}}}}
+	days := []Day{{Name: "d", Worth: 0.5, LogSummary: summary, RecomputedTokens: 8000, Losses: []Loss{{"part a", 0.2}, {"price of b", 0.3}}}}
 	var out bytes.Buffer
 	Print(&out, days, 2*time.Second)
-	PrintPairs(&out, Pairs([]Day{{Name: "d", Worth: 0.25}, {Name: "gone", Worth: 1}}, days))
+	PrintComparisons(&out, CompareDays([]Day{{Name: "d", Worth: 0.25}, {Name: "gone", Worth: 1}}, days))
 	goldie.New(t).Assert(t, "tables", out.Bytes())
 }
 
-// TestLinesOfOneProcessCountFromTheFirst: there is no time in front of them.
-func TestLinesOfOneProcessCountFromTheFirst(t *testing.T) {
-	alone := ""
-	for line := range strings.SplitSeq(log, "\n") {
+// TestTimesOfSingleProcessLogAreRelativeToFirstLine: there is no time in front of them.
+func TestTimesOfSingleProcessLogAreRelativeToFirstLine(t *testing.T) {
+	singleProcessLog := ""
+	for line := range strings.SplitSeq(sampleLog, "\n") {
 		if at := strings.Index(line, "{"); at >= 0 {
-			alone += line[at:] + "\n"
+			singleProcessLog += line[at:] + "\n"
 		}
 	}
-	lines, err := ReadLines(strings.NewReader(alone))
-	if found := lines.Events; err != nil || len(found) == 0 || found[0].At != 1750*time.Millisecond {
+	lines, err := ReadLines(strings.NewReader(singleProcessLog))
+	if events := lines.Events; err != nil || len(events) == 0 || events[0].At != 1750*time.Millisecond {
 		t.Fatalf("events %+v, error %v", lines.Events, err)
 	}
 }
 
-// TestPlotIsDrawn: also of a day without events.
-func TestPlotIsDrawn(t *testing.T) {
-	found, _ := ReadLines(strings.NewReader(log))
-	for name, days := range map[string][]Day{"some.svg": {{Lines: found}}, "none.svg": {{}}} {
+// TestPlotWritesFile: also of a day without events.
+func TestPlotWritesFile(t *testing.T) {
+	summary, _ := ReadLines(strings.NewReader(sampleLog))
+	for name, days := range map[string][]Day{"some.svg": {{LogSummary: summary}}, "none.svg": {{}}} {
 		file := filepath.Join(t.TempDir(), name)
 		if err := Plot(file, days, time.Second); err != nil {
 			t.Fatal(err)
--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -14,8 +14,8 @@
 	"kitetiller/internal/events"
 )
 
-// maximumLine bounds one line of a log; a longer one ends the reading with an error.
-const maximumLine = 1 << 20
+// maxLineBytes bounds one line of a log; a longer one ends the reading with an error.
+const maxLineBytes = 1 << 20
 
 // logLine is what of a log line is looked at.
 type logLine struct {
@@ -32,53 +32,53 @@
 	Why     string    `json:"reread_why"`
 }
 
-// names are parts of a cause that differ from request to request: addresses and instances.
-var names = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+|\bi-[0-9a-f]+\b`)
+// perRequestNames are parts of a cause that differ from request to request: addresses and instances.
+var perRequestNames = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+|\bi-[0-9a-f]+\b`)
 
-// Lines is what the lines of a log tell.
-type Lines struct {
-	Events []Event
-	Reads  []Read
-	Broken int // objects that can't be read: cut short, or of something else
+// LogSummary is what the lines of a log tell.
+type LogSummary struct {
+	Events         []Event
+	Recomputes     []Recompute
+	MalformedLines int // objects that can't be read: cut short, or of something else
 }
 
 // ReadLines reads a day's log. Each line is an object as the processes write it, behind a time in seconds and
 // a process's name where the log was gathered from several. Other lines are passed over.
-func ReadLines(from io.Reader) (found Lines, err error) {
-	scanner := bufio.NewScanner(from)
-	scanner.Buffer(make([]byte, 0, 64<<10), maximumLine)
+func ReadLines(r io.Reader) (summary LogSummary, err error) {
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var first time.Time
 	for scanner.Scan() {
-		before, object, has := strings.Cut(scanner.Text(), "{")
-		if !has {
+		prefix, object, found := strings.Cut(scanner.Text(), "{")
+		if !found {
 			continue
 		}
 		var line logLine
 		if json.Unmarshal([]byte("{"+object), &line) != nil {
-			found.Broken++
+			summary.MalformedLines++
 			continue
 		}
 		if first.IsZero() {
 			first = line.Time
 		}
 		at := line.Time.Sub(first)
-		if seconds, told := leadingSeconds(before); told {
+		if seconds, ok := leadingSeconds(prefix); ok {
 			at = seconds
 		}
 		if line.Reread > 0 && line.Msg == events.RequestAnswered {
-			found.Reads = append(found.Reads, Read{At: at, Route: line.Route, Cause: line.Why, Tokens: line.Reread})
+			summary.Recomputes = append(summary.Recomputes, Recompute{At: at, Route: line.Route, Cause: line.Why, Tokens: line.Reread})
 		}
-		if event, counts := line.event(); counts {
+		if event, lost := line.event(); lost {
 			event.At, event.Line = at, scanner.Text()
-			found.Events = append(found.Events, event)
+			summary.Events = append(summary.Events, event)
 		}
 	}
-	return found, eris.Wrap(scanner.Err(), "read log")
+	return summary, eris.Wrap(scanner.Err(), "read log")
 }
 
 // leadingSeconds reads the time in front of a gathered line.
-func leadingSeconds(before string) (time.Duration, bool) {
-	fields := strings.Fields(before)
+func leadingSeconds(prefix string) (time.Duration, bool) {
+	fields := strings.Fields(prefix)
 	if len(fields) == 0 {
 		return 0, false
 	}
@@ -90,13 +90,13 @@
 func (l *logLine) event() (Event, bool) {
 	switch {
 	case l.Msg == events.RequestRejected:
-		return Event{Outcome: Refused, Mechanism: l.Reason}, true
+		return Event{Outcome: Rejected, Mechanism: l.Reason}, true
 	case l.Msg == events.RequestAnswered && l.Status >= 500:
 		return Event{Outcome: Failed, Mechanism: "status " + strconv.Itoa(l.Status)}, true
 	case l.Msg == events.RequestAnswered && l.Late:
 		return Event{Outcome: Late, Mechanism: "answered after the objective"}, true
 	case l.Msg == events.AttemptFailed:
-		return Event{Outcome: Repeated, Mechanism: l.Result + ", " + names.ReplaceAllString(l.Cause, "*")}, true
+		return Event{Outcome: AttemptFailed, Mechanism: l.Result + ", " + perRequestNames.ReplaceAllString(l.Cause, "*")}, true
 	}
 	return Event{}, false
 }
