--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -195,7 +195,7 @@
 	return err
 }
 
-// drain rejects new requests, waits for those in progress up to DrainLimit, closes the session and shuts down the HTTP
+// drain rejects new requests, waits for those in progress up to DrainTimeout, closes the session and shuts down the HTTP
 // server. The session is closed only after renewSession has returned.
 func (s *Server) drain(public *http.Server, stopRenewing func()) {
 	s.log.Info("draining: finishing requests in progress")
