--- a/cmd/kitelab/account.go
+++ b/cmd/kitelab/account.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			return err
 		}
-		account.PrintPairs(os.Stdout, account.Pairs(before, days))
+		account.PrintComparisons(os.Stdout, account.CompareDays(before, days))
 	}
 	if f.plot == "" {
 		return nil
@@ -75,7 +75,7 @@
 	}
 	defer file.Close()
 	lines, err := account.ReadLines(file)
-	return append(days, account.Day{Name: f.log, Lines: lines}), err
+	return append(days, account.Day{Name: f.log, LogSummary: lines}), err
 }
 
 func reportsIn(folder string) ([]account.Day, error) {
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -68,7 +68,7 @@
 	if response.signals.Backoff <= 0 && response.unparsedBackoff == "" {
 		return
 	}
-	if held, due := g.backoffLogLimiter.Due(now, row.entry.ID); due {
+	if held, due := g.backoffLogLimiter.Allow(now, row.entry.ID); due {
 		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, response.signals.Backoff),
 			zap.Duration(events.FieldBackoffLeft, max(0, changes.restriction.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, response.unparsedBackoff), zap.Int("held", held))...)
 	}
--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -14,9 +14,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrNoHistory says that a repository doesn't hold a commit: its history may have been cut off where it was cloned. A caller can tell it with
+// ErrCommitNotFound says that a repository doesn't hold a commit: its history may have been cut off where it was cloned. A caller can tell it with
 // errors.Is.
-var ErrNoHistory = eris.New("this checkout's history doesn't hold the commit")
+var ErrCommitNotFound = eris.New("this checkout's history doesn't hold the commit")
 
 const (
 	folderMode  = 0o755
@@ -42,21 +42,21 @@
 		return "", eris.Wrap(err, "make a folder")
 	}
 	defer os.RemoveAll(source)
-	packed, err := output(ctx, repository, "git", "archive", "--format=zip", full)
+	archive, err := runCommand(ctx, repository, "git", "archive", "--format=zip", full)
 	if err != nil {
 		return "", eris.Wrapf(err, "read the files of %s", commit)
 	}
-	if err := unpack(packed, source); err != nil {
+	if err := unpack(archive, source); err != nil {
 		return "", err
 	}
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return "", eris.Wrap(err, "make a folder")
 	}
-	made := filepath.Join(source, "program")
-	if _, err := output(ctx, source, "go", "build", "-o", made, "./"+pkg); err != nil {
+	built := filepath.Join(source, "program")
+	if _, err := runCommand(ctx, source, "go", "build", "-o", built, "./"+pkg); err != nil {
 		return "", eris.Wrapf(err, "build %s at %s", pkg, commit)
 	}
-	return program, put(made, program)
+	return program, installAtomically(built, program)
 }
 
 // resolve returns the whole name of a commit.
@@ -64,51 +64,51 @@
 	if commit == "" || strings.HasPrefix(commit, "-") {
 		return "", eris.Errorf("%q names no commit", commit)
 	}
-	name, err := output(ctx, repository, "git", "rev-parse", "--verify", "--quiet", commit+"^{commit}")
+	name, err := runCommand(ctx, repository, "git", "rev-parse", "--verify", "--quiet", commit+"^{commit}")
 	if err != nil {
-		return "", eris.Wrapf(ErrNoHistory, "%s (a shallow clone holds the newest ones only)", commit)
+		return "", eris.Wrapf(ErrCommitNotFound, "%s (a shallow clone holds the newest ones only)", commit)
 	}
 	return strings.TrimSpace(string(name)), nil
 }
 
-// output runs a program and returns what it wrote, or an error with what it complained of.
-func output(ctx context.Context, folder, name string, arguments ...string) ([]byte, error) {
+// runCommand runs a program and returns what it wrote, or an error with what it complained of.
+func runCommand(ctx context.Context, folder, name string, arguments ...string) ([]byte, error) {
 	command := exec.CommandContext(ctx, name, arguments...)
 	command.Dir = folder
-	var said bytes.Buffer
-	command.Stderr = &said
+	var stderr bytes.Buffer
+	command.Stderr = &stderr
 	out, err := command.Output()
-	return out, eris.Wrapf(err, "%s %s: %s", name, strings.Join(arguments, " "), strings.TrimSpace(said.String()))
+	return out, eris.Wrapf(err, "%s %s: %s", name, strings.Join(arguments, " "), strings.TrimSpace(stderr.String()))
 }
 
 // unpack writes the files of an archive into a folder.
-func unpack(packed []byte, folder string) error {
-	archive, err := zip.NewReader(bytes.NewReader(packed), int64(len(packed)))
+func unpack(archive []byte, folder string) error {
+	reader, err := zip.NewReader(bytes.NewReader(archive), int64(len(archive)))
 	if err != nil {
 		return eris.Wrap(err, "read the archive")
 	}
-	return eris.Wrap(os.CopyFS(folder, archive), "unpack the archive")
+	return eris.Wrap(os.CopyFS(folder, reader), "unpack the archive")
 }
 
-// put moves a program to its place as a whole, so that nobody meets a part of one.
-func put(made, program string) error {
-	text, err := os.ReadFile(made)
+// installAtomically moves a program to its place as a whole, so that nobody meets a part of one.
+func installAtomically(built, program string) error {
+	data, err := os.ReadFile(built)
 	if err != nil {
 		return eris.Wrap(err, "read the program")
 	}
-	beside, err := os.CreateTemp(filepath.Dir(program), ".program-")
+	temporary, err := os.CreateTemp(filepath.Dir(program), ".program-")
 	if err != nil {
 		return eris.Wrap(err, "write the program")
 	}
-	defer os.Remove(beside.Name())
-	if _, err := beside.Write(text); err != nil {
+	defer os.Remove(temporary.Name())
+	if _, err := temporary.Write(data); err != nil {
 		return eris.Wrap(err, "write the program")
 	}
-	if err := beside.Close(); err != nil {
+	if err := temporary.Close(); err != nil {
 		return eris.Wrap(err, "write the program")
 	}
-	if err := os.Chmod(beside.Name(), programMode); err != nil {
+	if err := os.Chmod(temporary.Name(), programMode); err != nil {
 		return eris.Wrap(err, "write the program")
 	}
-	return eris.Wrap(os.Rename(beside.Name(), program), "write the program")
+	return eris.Wrap(os.Rename(temporary.Name(), program), "write the program")
 }
--- a/internal/lab/earlier/earlier_test.go
+++ b/internal/lab/earlier/earlier_test.go
@@ -16,8 +16,8 @@
 		t.Helper()
 		command := exec.Command("git", append([]string{"-c", "user.name=t", "-c", "user.email=t@example.org"}, arguments...)...)
 		command.Dir = folder
-		if said, err := command.CombinedOutput(); err != nil {
-			t.Fatalf("git %v: %v\n%s", arguments, err, said)
+		if output, err := command.CombinedOutput(); err != nil {
+			t.Fatalf("git %v: %v\n%s", arguments, err, output)
 		}
 	}
 	write := func(name, text string) {
@@ -32,40 +32,40 @@
 	}
 	git("init", "--quiet", "--initial-branch=main")
 	write("go.mod", "module example\n\ngo 1.26\n")
-	for _, which := range []string{"first", "second"} {
-		write("cmd/tell/main.go", "package main\n\nfunc main() { println(\""+which+"\") }\n")
+	for _, label := range []string{"first", "second"} {
+		write("cmd/tell/main.go", "package main\n\nfunc main() { println(\""+label+"\") }\n")
 		git("add", ".")
-		git("commit", "--quiet", "-m", which)
+		git("commit", "--quiet", "-m", label)
 	}
 	write("cmd/tell/main.go", "not a program any more")
 	return folder
 }
 
-// TestEarlierCommitIsBuilt: as it was, beside a work tree that doesn't build.
-func TestEarlierCommitIsBuilt(t *testing.T) {
+// TestBuildUsesTheCommitAndNotTheWorkTree: as it was, beside a work tree that doesn't build.
+func TestBuildUsesTheCommitAndNotTheWorkTree(t *testing.T) {
 	repository, programs := newRepository(t), t.TempDir()
-	for commit, wanted := range map[string]string{"HEAD~1": "first\n", "HEAD": "second\n"} {
+	for commit, want := range map[string]string{"HEAD~1": "first\n", "HEAD": "second\n"} {
 		for range 2 { // built, and used again
 			program, err := Build(t.Context(), repository, commit, "cmd/tell", programs)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if said, err := exec.Command(program).CombinedOutput(); err != nil || string(said) != wanted {
-				t.Fatalf("%s says %q, %v", commit, said, err)
+			if output, err := exec.Command(program).CombinedOutput(); err != nil || string(output) != want {
+				t.Fatalf("%s says %q, %v", commit, output, err)
 			}
 		}
 	}
 }
 
-// TestWhatCannotBeBuiltIsSaid: a commit that isn't there, as in a shallow clone, a name that is none, and a package that isn't there.
-func TestWhatCannotBeBuiltIsSaid(t *testing.T) {
+// TestBuildErrors: a commit that isn't there, as in a shallow clone, a name that is none, and a package that isn't there.
+func TestBuildErrors(t *testing.T) {
 	repository, programs := newRepository(t), t.TempDir()
-	if _, err := Build(t.Context(), repository, "0123456789abcdef", "cmd/tell", programs); !errors.Is(err, ErrNoHistory) {
+	if _, err := Build(t.Context(), repository, "0123456789abcdef", "cmd/tell", programs); !errors.Is(err, ErrCommitNotFound) {
 		t.Fatalf("a commit that isn't there: %v", err)
 	}
-	for _, row := range [][2]string{{"", "cmd/tell"}, {"--help", "cmd/tell"}, {"HEAD", "cmd/none"}} {
-		if _, err := Build(t.Context(), repository, row[0], row[1], programs); err == nil || errors.Is(err, ErrNoHistory) {
-			t.Fatalf("%v: %v", row, err)
+	for _, arguments := range [][2]string{{"", "cmd/tell"}, {"--help", "cmd/tell"}, {"HEAD", "cmd/none"}} {
+		if _, err := Build(t.Context(), repository, arguments[0], arguments[1], programs); err == nil || errors.Is(err, ErrCommitNotFound) {
+			t.Fatalf("%v: %v", arguments, err)
 		}
 	}
 	if left, err := filepath.Glob(filepath.Join(programs, "*")); err != nil || len(left) > 0 {
--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -31,27 +31,27 @@
 	now        time.Duration
 	rate       float64
 	tenants    []tenant
-	shift      int // raised at each shift: other templates become hot
+	hotShifts  int // raised at each shift: other templates become hot
 	followUps  []followUp
 	documents  int
-	day        time.Duration // length of a day when demand follows the sun; 0 is none
+	dayLength  time.Duration // length of a day when demand follows the sun; 0 is none
 }
 
 // tenant is the state of one tenant's callers.
 type tenant struct {
-	name     string
-	zone     string
-	share    float64
-	preamble string
-	texts    map[int]string // template texts
+	name          string
+	zone          string
+	share         float64
+	preamble      string
+	templateTexts map[int]string // template texts
 }
 
 // followUp is a later question about a document that was asked about before.
 type followUp struct {
-	at     time.Duration
-	prompt Prompt
-	prefix string
-	left   int
+	at        time.Duration
+	prompt    Prompt
+	prefix    string
+	remaining int
 }
 
 // New returns a generator. scale multiplies the deployment's request rate.
@@ -60,18 +60,18 @@
 		deployment: deployment, random: rand.New(rand.NewPCG(seed, 7)),
 		rate: deployment.Traffic.RequestsPerSecond * scale,
 	}
-	for i, listed := range deployment.Tenants {
+	for i, spec := range deployment.Tenants {
 		g.tenants = append(g.tenants, tenant{
-			name: listed.Name, share: listed.Share, zone: deployment.Zones[i%len(deployment.Zones)],
-			preamble: filler(fmt.Sprintf("preamble of %s", listed.Name), deployment.Traffic.PreambleTokens),
-			texts:    map[int]string{},
+			name: spec.Name, share: spec.Share, zone: deployment.Zones[i%len(deployment.Zones)],
+			preamble:      fillerText(fmt.Sprintf("preamble of %s", spec.Name), deployment.Traffic.PreambleTokens),
+			templateTexts: map[int]string{},
 		})
 	}
 	return g
 }
 
-// filler returns text of a length in tokens that is unlike any other text with another label.
-func filler(label string, tokens int) string {
+// fillerText returns text of a length in tokens that is unlike any other text with another label.
+func fillerText(label string, tokens int) string {
 	size := tokens * prefix.BytesPerToken
 	var text strings.Builder
 	for line := 0; text.Len() < size; line++ {
@@ -80,102 +80,102 @@
 	return text.String()[:size]
 }
 
-// Shift makes other templates hot, as at the start of transcript season or a shift change.
-func (g *Generator) Shift() { g.shift++ }
+// ShiftHotTemplates makes other templates hot, as at the start of transcript season or a shift change.
+func (g *Generator) ShiftHotTemplates() { g.hotShifts++ }
 
 // FollowSun makes demand move from zone to zone once in a day of the given length: a zone has its whole demand at
 // noon and none at midnight.
-func (g *Generator) FollowSun(day time.Duration) { g.day = day }
+func (g *Generator) FollowSun(day time.Duration) { g.dayLength = day }
 
-// daylight is the share of a zone's demand at the present time.
-func (g *Generator) daylight(zone string) float64 {
-	if g.day == 0 {
+// demandFactor is the share of a zone's demand at the present time.
+func (g *Generator) demandFactor(zone string) float64 {
+	if g.dayLength == 0 {
 		return 1
 	}
-	at := slices.Index(g.deployment.Zones, zone)
-	turn := g.now.Seconds()/g.day.Seconds() + float64(at)/float64(len(g.deployment.Zones))
-	return (1 - math.Cos(2*math.Pi*turn)) / 2
+	zoneIndex := slices.Index(g.deployment.Zones, zone)
+	dayFraction := g.now.Seconds()/g.dayLength.Seconds() + float64(zoneIndex)/float64(len(g.deployment.Zones))
+	return (1 - math.Cos(2*math.Pi*dayFraction)) / 2
 }
 
 // Next returns the next prompt in order of time.
 func (g *Generator) Next() Prompt {
-	gap := time.Duration(g.random.ExpFloat64() / g.firstRate() * float64(time.Second))
+	gap := time.Duration(g.random.ExpFloat64() / g.initialRequestRate() * float64(time.Second))
 	next := g.now + gap
-	if due, found := g.dueFollowUp(next); found {
+	if due, found := g.takeDueFollowUp(next); found {
 		g.now = max(g.now, due.At)
 		return due
 	}
 	g.now = next
-	return g.fresh()
+	return g.initialPrompt()
 }
 
-// firstRate is the rate of requests that are not follow-ups, so that the total is the wanted rate.
-func (g *Generator) firstRate() float64 {
+// initialRequestRate is the rate of requests that are not follow-ups, so that the total is the wanted rate.
+func (g *Generator) initialRequestRate() float64 {
 	traffic := g.deployment.Traffic
-	perFirst := 1 + (1-traffic.ShortShare)*float64(max(0, traffic.QuestionsPerDoc-1))
-	return g.rate / perFirst
+	requestsPerInitial := 1 + (1-traffic.ShortShare)*float64(max(0, traffic.QuestionsPerDoc-1))
+	return g.rate / requestsPerInitial
 }
 
-func (g *Generator) dueFollowUp(by time.Duration) (Prompt, bool) {
-	best := -1
+func (g *Generator) takeDueFollowUp(by time.Duration) (Prompt, bool) {
+	earliest := -1
 	for i := range g.followUps {
-		if g.followUps[i].at <= by && (best < 0 || g.followUps[i].at < g.followUps[best].at) {
-			best = i
+		if g.followUps[i].at <= by && (earliest < 0 || g.followUps[i].at < g.followUps[earliest].at) {
+			earliest = i
 		}
 	}
-	if best < 0 {
+	if earliest < 0 {
 		return Prompt{}, false
 	}
-	due := g.followUps[best]
-	g.followUps[best] = g.followUps[len(g.followUps)-1]
+	due := g.followUps[earliest]
+	g.followUps[earliest] = g.followUps[len(g.followUps)-1]
 	g.followUps = g.followUps[:len(g.followUps)-1]
 	prompt := due.prompt
 	prompt.At = due.at
-	prompt.Text = due.prefix + g.question(g.deployment.Traffic.QuestionTokens)
-	g.plan(due.prompt, due.prefix, due.at, due.left-1)
+	prompt.Text = due.prefix + g.questionText(g.deployment.Traffic.QuestionTokens)
+	g.scheduleFollowUp(due.prompt, due.prefix, due.at, due.remaining-1)
 	return prompt, true
 }
 
-// plan schedules the next question about a document.
-func (g *Generator) plan(prompt Prompt, documentPrefix string, after time.Duration, left int) {
-	if left <= 0 {
+// scheduleFollowUp schedules the next question about a document.
+func (g *Generator) scheduleFollowUp(prompt Prompt, documentPrefix string, after time.Duration, remaining int) {
+	if remaining <= 0 {
 		return
 	}
 	gap := time.Duration((0.5 + g.random.Float64()) * float64(g.deployment.Traffic.QuestionGap))
-	g.followUps = append(g.followUps, followUp{at: after + gap, prompt: prompt, prefix: documentPrefix, left: left})
+	g.followUps = append(g.followUps, followUp{at: after + gap, prompt: prompt, prefix: documentPrefix, remaining: remaining})
 }
 
-func (g *Generator) question(tokens int) string {
-	return filler(fmt.Sprintf("question %x", g.random.Uint64()), tokens)
+func (g *Generator) questionText(tokens int) string {
+	return fillerText(fmt.Sprintf("question %x", g.random.Uint64()), tokens)
 }
 
-func (g *Generator) fresh() Prompt {
+func (g *Generator) initialPrompt() Prompt {
 	traffic := g.deployment.Traffic
-	owner := g.pickTenant()
-	prompt := Prompt{At: g.now, Zone: owner.zone, Tenant: owner.name, MaxTokens: g.around(traffic.LongAnswerTokens)}
-	base := owner.preamble + owner.template(g.pickTemplate(), traffic.TemplateTokens)
+	caller := g.pickTenant()
+	prompt := Prompt{At: g.now, Zone: caller.zone, Tenant: caller.name, MaxTokens: g.jittered(traffic.LongAnswerTokens)}
+	base := caller.preamble + caller.templateText(g.pickTemplate(), traffic.TemplateTokens)
 	if g.random.Float64() < traffic.ShortShare {
-		prompt.Short, prompt.MaxTokens = true, g.around(traffic.ShortAnswerTokens)
-		prompt.Text = base + g.question(traffic.ShortTokens)
+		prompt.Short, prompt.MaxTokens = true, g.jittered(traffic.ShortAnswerTokens)
+		prompt.Text = base + g.questionText(traffic.ShortTokens)
 		return prompt
 	}
 	g.documents++
-	document := base + filler(fmt.Sprintf("document %d of %s", g.documents, owner.name), g.around(traffic.DocumentTokens))
-	prompt.Text = document + g.question(traffic.QuestionTokens)
-	g.plan(prompt, document, g.now, g.around(traffic.QuestionsPerDoc)-1)
+	document := base + fillerText(fmt.Sprintf("document %d of %s", g.documents, caller.name), g.jittered(traffic.DocumentTokens))
+	prompt.Text = document + g.questionText(traffic.QuestionTokens)
+	g.scheduleFollowUp(prompt, document, g.now, g.jittered(traffic.QuestionsPerDoc)-1)
 	return prompt
 }
 
-// around returns a number between half and one and a half times the mean.
-func (g *Generator) around(mean int) int {
+// jittered returns a number between half and one and a half times the mean.
+func (g *Generator) jittered(mean int) int {
 	return max(1, mean/2+g.random.IntN(max(1, mean)))
 }
 
-func (t *tenant) template(number, tokens int) string {
-	text, made := t.texts[number]
-	if !made {
-		text = filler(fmt.Sprintf("template %d of %s", number, t.name), tokens)
-		t.texts[number] = text
+func (t *tenant) templateText(number, tokens int) string {
+	text, cached := t.templateTexts[number]
+	if !cached {
+		text = fillerText(fmt.Sprintf("template %d of %s", number, t.name), tokens)
+		t.templateTexts[number] = text
 	}
 	return text
 }
@@ -183,11 +183,11 @@
 func (g *Generator) pickTenant() *tenant {
 	total := 0.0
 	for i := range g.tenants {
-		total += g.tenants[i].share * g.daylight(g.tenants[i].zone)
+		total += g.tenants[i].share * g.demandFactor(g.tenants[i].zone)
 	}
-	at := g.random.Float64() * total
+	draw := g.random.Float64() * total
 	for i := range g.tenants {
-		if at -= g.tenants[i].share * g.daylight(g.tenants[i].zone); at < 0 {
+		if draw -= g.tenants[i].share * g.demandFactor(g.tenants[i].zone); draw < 0 {
 			return &g.tenants[i]
 		}
 	}
@@ -199,13 +199,13 @@
 	count := g.deployment.Traffic.Templates
 	total := 0.0
 	for rank := 1; rank <= count; rank++ {
-		total += math.Pow(float64(rank), -g.deployment.Traffic.HotExponent)
+		total += math.Pow(float64(rank), -g.deployment.Traffic.ZipfExponent)
 	}
 	at := g.random.Float64() * total
 	for rank := 1; rank <= count; rank++ {
-		if at -= math.Pow(float64(rank), -g.deployment.Traffic.HotExponent); at < 0 {
-			return rank + g.shift*count
+		if at -= math.Pow(float64(rank), -g.deployment.Traffic.ZipfExponent); at < 0 {
+			return rank + g.hotShifts*count
 		}
 	}
-	return count + g.shift*count
+	return count + g.hotShifts*count
 }
--- a/internal/lab/vtime/vtime.go
+++ b/internal/lab/vtime/vtime.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// item is something that happens at a time.
-type item struct {
-	at    time.Duration
-	order uint64
-	run   func()
+// event is something that happens at a time.
+type event struct {
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
-// items is a heap by time, then by order of scheduling; it implements heap.Interface.
-type items []item
+// eventHeap is a heap by time, then by order of scheduling; it implements heap.Interface.
+type eventHeap []event
 
-func (q items) Len() int { return len(q) }
-func (q items) Less(i, j int) bool {
+func (q eventHeap) Len() int { return len(q) }
+func (q eventHeap) Less(i, j int) bool {
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].sequence < q[j].sequence
 }
-func (q items) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push adds an item; use heap.Push.
-func (q *items) Push(added any) { *q = append(*q, added.(item)) }
+func (q *eventHeap) Push(e any) { *q = append(*q, e.(event)) }
 
 // Pop removes the last item; use heap.Pop.
-func (q *items) Pop() any {
+func (q *eventHeap) Pop() any {
 	old := *q
 	last := old[len(old)-1]
-	old[len(old)-1] = item{}
+	old[len(old)-1] = event{}
 	*q = old[:len(old)-1]
 	return last
 }
 
 // Clock is a virtual clock with its queue. The zero value stands at 0 with nothing to do.
 type Clock struct {
-	now    time.Duration
-	queue  items
-	orders uint64
+	now          time.Duration
+	queue        eventHeap
+	lastSequence uint64
 }
 
 // Now returns the virtual time.
@@ -49,8 +49,8 @@
 
 // After schedules something; a negative delay counts as none.
 func (c *Clock) After(delay time.Duration, run func()) {
-	c.orders++
-	heap.Push(&c.queue, item{at: c.now + max(0, delay), order: c.orders, run: run})
+	c.lastSequence++
+	heap.Push(&c.queue, event{at: c.now + max(0, delay), sequence: c.lastSequence, run: run})
 }
 
 // Step runs the next thing that is due by the end. It returns false when there is none.
@@ -58,7 +58,7 @@
 	if len(c.queue) == 0 || c.queue[0].at > end {
 		return false
 	}
-	next := heap.Pop(&c.queue).(item)
+	next := heap.Pop(&c.queue).(event)
 	c.now = next.at
 	next.run()
 	return true
@@ -74,15 +74,15 @@
 
 // Set asks for ring at due, but not sooner than soonest from now; it does nothing when the alarm rings by then
 // already. after schedules, as Clock.After does.
-func (a *Alarm) Set(now, due, soonest time.Duration, after func(time.Duration, func()), ring func()) {
+func (a *Alarm) Set(now, due, minDelay time.Duration, after func(time.Duration, func()), fire func()) {
 	if a.at > now && a.at <= due {
 		return
 	}
-	at := max(due, now+soonest)
+	at := max(due, now+minDelay)
 	a.at = at
 	after(at-now, func() {
 		if a.at == at { // otherwise it was set to an earlier time, or belongs to an earlier life
-			ring()
+			fire()
 		}
 	})
 }
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -1,5 +1,6 @@
-// Package node reads the file that tells a process its name, zone, addresses and data folder. The file is
-// checked whole before anything starts: every fault is named with its path, line and what is allowed.
+// Package node contains what the processes of the system share: the settings file of routers and control replicas, the
+// log and the metrics endpoint. A settings file is validated as a whole before its process starts; all problems are
+// reported together, each with its line, its path and the allowed values.
 package node
 
 import (
@@ -14,45 +15,45 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Fault is one thing that is wrong with a file.
-type Fault struct {
+// Problem is one error in a settings file.
+type Problem struct {
 	Line    int
 	Path    string
 	Message string
 }
 
 // String returns "line N: path: message".
-func (f Fault) String() string { return fmt.Sprintf("line %d: %s: %s", f.Line, f.Path, f.Message) }
+func (p Problem) String() string { return fmt.Sprintf("line %d: %s: %s", p.Line, p.Path, p.Message) }
 
-// decoder fills typed structs from YAML and collects every fault.
+// decoder decodes YAML into typed structs and collects all problems instead of stopping at the first.
 type decoder struct {
-	faults []Fault
-	lines  map[string]int
+	problems []Problem
+	lines    map[string]int // line number by path
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// Decode fills target, a pointer to a struct with yaml tags, and returns all faults. Keys that the struct
-// does not have are faults. The second result maps each path to its line, for later checks.
-func Decode(data []byte, target any) ([]Fault, map[string]int) {
+// Decode decodes YAML into target, a pointer to a struct with yaml tags, and returns all problems. Unknown keys are
+// problems too. The second result maps each path to its line number, for later checks.
+func Decode(data []byte, target any) ([]Problem, map[string]int) {
 	d := &decoder{lines: map[string]int{}}
 	file, err := parser.ParseBytes(data, 0)
 	if err != nil {
 		message, _, _ := strings.Cut(err.Error(), "\n")
-		return []Fault{{Line: 1, Path: "file", Message: "not valid YAML: " + message}}, d.lines
+		return []Problem{{Line: 1, Path: "file", Message: "not valid YAML: " + message}}, d.lines
 	}
 	if len(file.Docs) == 0 || file.Docs[0].Body == nil {
-		return []Fault{{Line: 1, Path: "file", Message: "the file is empty"}}, d.lines
+		return []Problem{{Line: 1, Path: "file", Message: "the file is empty"}}, d.lines
 	}
-	d.value(file.Docs[0].Body, reflect.ValueOf(target).Elem(), "")
-	return d.faults, d.lines
+	d.decodeValue(file.Docs[0].Body, reflect.ValueOf(target).Elem(), "")
+	return d.problems, d.lines
 }
 
-func (d *decoder) fault(node ast.Node, path, message string) {
+func (d *decoder) addProblem(node ast.Node, path, message string) {
 	if path == "" {
 		path = "file"
 	}
-	d.faults = append(d.faults, Fault{Line: lineOf(node), Path: path, Message: message})
+	d.problems = append(d.problems, Problem{Line: lineOf(node), Path: path, Message: message})
 }
 
 func lineOf(node ast.Node) int {
@@ -62,112 +63,113 @@
 	return 1
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-func (d *decoder) value(node ast.Node, target reflect.Value, path string) {
+func (d *decoder) decodeValue(node ast.Node, target reflect.Value, path string) {
 	if _, empty := node.(*ast.NullNode); empty {
 		return
 	}
 	switch {
 	case target.Kind() == reflect.Pointer:
 		target.Set(reflect.New(target.Type().Elem()))
-		d.value(node, target.Elem(), path)
+		d.decodeValue(node, target.Elem(), path)
 	case target.Kind() == reflect.Struct:
-		d.structure(node, target, path)
+		d.decodeStruct(node, target, path)
 	case target.Kind() == reflect.Map:
-		d.mapping(node, target, path)
+		d.decodeMap(node, target, path)
 	case target.Kind() == reflect.Slice:
-		d.sequence(node, target, path)
+		d.decodeSlice(node, target, path)
 	default:
-		d.scalar(node, target, path)
+		d.decodeScalar(node, target, path)
 	}
 }
 
-func (d *decoder) members(node ast.Node, path string) []*ast.MappingValueNode {
+// mappingEntries returns the entries of a mapping. The parser represents a mapping of one entry by the entry itself.
+func (d *decoder) mappingEntries(node ast.Node, path string) []*ast.MappingValueNode {
 	switch typed := node.(type) {
 	case *ast.MappingNode:
 		return typed.Values
 	case *ast.MappingValueNode:
 		return []*ast.MappingValueNode{typed}
 	}
-	d.fault(node, path, "a mapping of keys to values is expected here")
+	d.addProblem(node, path, "expected a mapping of keys to values")
 	return nil
 }
 
-func (d *decoder) structure(node ast.Node, target reflect.Value, path string) {
-	fields := map[string]int{}
-	var names []string
+func (d *decoder) decodeStruct(node ast.Node, target reflect.Value, path string) {
+	fieldIndexes := map[string]int{}
+	var allowedKeys []string
 	for i := range target.NumField() {
 		name, _, _ := strings.Cut(target.Type().Field(i).Tag.Get("yaml"), ",")
 		if name != "" && name != "-" {
-			fields[name] = i
-			names = append(names, name)
+			fieldIndexes[name] = i
+			allowedKeys = append(allowedKeys, name)
 		}
 	}
-	sort.Strings(names)
-	for _, member := range d.members(node, path) {
-		key := strings.Trim(member.Key.String(), `"'`)
-		at := join(path, key)
-		d.lines[at] = lineOf(member.Key)
-		index, known := fields[key]
+	sort.Strings(allowedKeys)
+	for _, entry := range d.mappingEntries(node, path) {
+		key := strings.Trim(entry.Key.String(), `"'`)
+		entryPath := joinPath(path, key)
+		d.lines[entryPath] = lineOf(entry.Key)
+		index, known := fieldIndexes[key]
 		if !known {
-			d.fault(member.Key, at, "unknown key; allowed here: "+strings.Join(names, ", "))
+			d.addProblem(entry.Key, entryPath, "unknown key; allowed here: "+strings.Join(allowedKeys, ", "))
 			continue
 		}
-		d.value(member.Value, target.Field(index), at)
+		d.decodeValue(entry.Value, target.Field(index), entryPath)
 	}
 }
 
-func (d *decoder) mapping(node ast.Node, target reflect.Value, path string) {
+func (d *decoder) decodeMap(node ast.Node, target reflect.Value, path string) {
 	target.Set(reflect.MakeMap(target.Type()))
-	for _, member := range d.members(node, path) {
-		key := strings.Trim(member.Key.String(), `"'`)
-		at := join(path, key)
-		d.lines[at] = lineOf(member.Key)
+	for _, entry := range d.mappingEntries(node, path) {
+		key := strings.Trim(entry.Key.String(), `"'`)
+		entryPath := joinPath(path, key)
+		d.lines[entryPath] = lineOf(entry.Key)
 		element := reflect.New(target.Type().Elem()).Elem()
-		d.value(member.Value, element, at)
+		d.decodeValue(entry.Value, element, entryPath)
 		target.SetMapIndex(reflect.ValueOf(key), element)
 	}
 }
 
-func (d *decoder) sequence(node ast.Node, target reflect.Value, path string) {
+func (d *decoder) decodeSlice(node ast.Node, target reflect.Value, path string) {
 	list, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.fault(node, path, "a list is expected here")
+		d.addProblem(node, path, "expected a list")
 		return
 	}
 	for i, item := range list.Values {
-		at := fmt.Sprintf("%s[%d]", path, i)
-		d.lines[at] = lineOf(item)
+		itemPath := fmt.Sprintf("%s[%d]", path, i)
+		d.lines[itemPath] = lineOf(item)
 		element := reflect.New(target.Type().Elem()).Elem()
-		d.value(item, element, at)
+		d.decodeValue(item, element, itemPath)
 		target.Set(reflect.Append(target, element))
 	}
 }
 
-func (d *decoder) scalar(node ast.Node, target reflect.Value, path string) {
+func (d *decoder) decodeScalar(node ast.Node, target reflect.Value, path string) {
 	if target.Type() == durationType {
-		d.duration(node, target, path)
+		d.decodeDuration(node, target, path)
 		return
 	}
 	pointer := reflect.New(target.Type())
 	if err := yaml.NodeToValue(node, pointer.Interface()); err != nil {
-		d.fault(node, path, fmt.Sprintf("%s is not a value of type %s", node.String(), target.Type()))
+		d.addProblem(node, path, fmt.Sprintf("%s is not a value of type %s", node.String(), target.Type()))
 		return
 	}
 	target.Set(pointer.Elem())
 }
 
-func (d *decoder) duration(node ast.Node, target reflect.Value, path string) {
+func (d *decoder) decodeDuration(node ast.Node, target reflect.Value, path string) {
 	text := strings.Trim(node.String(), `"'`)
 	parsed, err := time.ParseDuration(text)
 	if err != nil || parsed < 0 {
-		d.fault(node, path, fmt.Sprintf("%s is not a duration; write a number and a unit, like 250ms or 3s", text))
+		d.addProblem(node, path, fmt.Sprintf("%s is not a duration; write a number and a unit, like 250ms or 3s", text))
 		return
 	}
 	target.SetInt(int64(parsed))
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -11,28 +11,28 @@
 	"kitetiller/internal/events"
 )
 
-// stuckReader takes lines only while it is free.
-type stuckReader struct {
-	free chan struct{} // closed once it takes lines
-	mu   sync.Mutex
-	got  []string // guarded by mu
+// blockingWriter blocks all writes until unblocked is closed, and records the lines.
+type blockingWriter struct {
+	unblocked chan struct{} // closed to let writes proceed
+	mu        sync.Mutex
+	lines     []string // guarded by mu
 }
 
-func (s *stuckReader) Write(line []byte) (int, error) {
-	<-s.free
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.got = append(s.got, string(line))
+func (w *blockingWriter) Write(line []byte) (int, error) {
+	<-w.unblocked
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.lines = append(w.lines, string(line))
 	return len(line), nil
 }
 
-func (*stuckReader) Sync() error { return nil }
+func (*blockingWriter) Sync() error { return nil }
 
-func (s *stuckReader) count(text string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (w *blockingWriter) count(text string) int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	n := 0
-	for _, line := range s.got {
+	for _, line := range w.lines {
 		if strings.Contains(line, text) {
 			n++
 		}
@@ -40,52 +40,52 @@
 	return n
 }
 
-// TestStuckReaderHoldsNothingUp: whoever logs goes on although nobody reads, and what is dropped is counted.
-func TestStuckReaderHoldsNothingUp(t *testing.T) {
-	reader := &stuckReader{free: make(chan struct{})}
-	defer close(reader.free)
-	log := newLog(zapcore.InfoLevel, "n", newLineRing(reader))
-	const lines = 5 * logRing
-	for range lines {
+// TestLoggingDoesNotBlockOnStalledOutput: logging continues while the output is blocked, and dropped lines are counted.
+func TestLoggingDoesNotBlockOnStalledOutput(t *testing.T) {
+	output := &blockingWriter{unblocked: make(chan struct{})}
+	defer close(output.unblocked)
+	log := newLog(zapcore.InfoLevel, "n", newAsyncWriter(output))
+	const written = 5 * logBufferLines
+	for range written {
 		log.Info("line")
 	}
-	if dropped := log.Dropped(); dropped < lines-logRing-1 || dropped >= lines {
-		t.Fatalf("%d of %d lines dropped", dropped, lines)
+	if dropped := log.Dropped(); dropped < written-logBufferLines-1 || dropped >= written {
+		t.Fatalf("%d of %d lines were dropped, want all but those that the buffer holds", dropped, written)
 	}
 }
 
-// TestRoutineLinesAreDroppedFirst: while nobody reads, successes leave room for what else happens; once somebody reads
-// again, all of that comes, and a line tells how many are missing.
-func TestRoutineLinesAreDroppedFirst(t *testing.T) {
-	reader := &stuckReader{free: make(chan struct{})}
-	ring := newLineRing(reader)
-	log := newLog(zapcore.InfoLevel, "n", ring)
-	for range 5 * logRing {
+// TestRoutineLinesAreDroppedBeforeOthers: while the output is blocked, routine lines leave the reserve to other lines,
+// which are all written once the output is unblocked; the number of dropped lines is reported.
+func TestRoutineLinesAreDroppedBeforeOthers(t *testing.T) {
+	output := &blockingWriter{unblocked: make(chan struct{})}
+	writer := newAsyncWriter(output)
+	log := newLog(zapcore.InfoLevel, "n", writer)
+	for range 5 * logBufferLines {
 		log.Info(events.RequestAnswered)
 	}
-	const changes = logReserve - 2
-	for range changes {
+	const otherLines = logBufferReserve - 2
+	for range otherLines {
 		log.Info(events.InstanceGone)
 	}
 	dropped := log.Dropped()
-	if dropped < 4*logRing || len(ring.lines) > logRing {
-		t.Fatalf("%d lines dropped, %d wait", dropped, len(ring.lines))
+	if dropped < 4*logBufferLines || len(writer.lines) > logBufferLines {
+		t.Fatalf("%d lines dropped and %d buffered, want most dropped and the buffer within its bound", dropped, len(writer.lines))
 	}
-	close(reader.free)
+	close(output.unblocked)
 	for range 1000 {
-		if reader.count(events.InstanceGone) == changes && len(ring.lines) == 0 {
+		if output.count(events.InstanceGone) == otherLines && len(writer.lines) == 0 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if got := reader.count(events.InstanceGone); got != changes {
-		t.Fatalf("%d of %d changes of belief were written", got, changes)
+	if got := output.count(events.InstanceGone); got != otherLines {
+		t.Fatalf("%d of %d lines that aren't routine were written", got, otherLines)
 	}
-	tell := make(chan uint64, 1)
-	fresh := newLineRing(reader)
-	fresh.dropped.Store(dropped)
-	go fresh.runEach(time.Millisecond, func(count uint64) { tell <- count })
-	if told := <-tell; told != dropped {
-		t.Fatalf("told of %d dropped lines, wanted %d", told, dropped)
+	reports := make(chan uint64, 1)
+	secondWriter := newAsyncWriter(output)
+	secondWriter.dropped.Store(dropped)
+	go secondWriter.runWithInterval(time.Millisecond, func(count uint64) { reports <- count })
+	if reported := <-reports; reported != dropped {
+		t.Fatalf("%d dropped lines reported, want %d", reported, dropped)
 	}
 }
--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -6,48 +6,49 @@
 )
 
 const (
-	// SparseEach is the least time between two lines of one key: a rollout may cause one for each request.
-	SparseEach = time.Second
-	// sparseKept is how long a key is kept after its newest line, for the count of the lines that were held back since.
-	sparseKept = time.Minute
+	// LogLimitInterval is the minimum time between two lines of one key; some events would otherwise log a line for
+	// every request.
+	LogLimitInterval = time.Second
+	// logLimitStateTTL is how long a key's state, with its count of suppressed lines, is kept after its last line.
+	logLimitStateTTL = time.Minute
 )
 
-// Sparse bounds how often lines of one key are written, and counts those held back. It is safe for concurrent use.
-type Sparse struct {
-	mu    sync.Mutex
-	lines map[string]sparseLine // guarded by mu
+// LogLimiter limits the rate of log lines by key and counts suppressed lines. It is safe for concurrent use.
+type LogLimiter struct {
+	mu     sync.Mutex
+	states map[string]logLimitState // guarded by mu
 }
 
-// sparseLine is what is known of the lines of one key.
-type sparseLine struct {
-	at   time.Duration // when one was last written
-	held int           // held back since
+// logLimitState is the state of one key.
+type logLimitState struct {
+	writtenAt  time.Duration // when a line was last allowed
+	suppressed int           // lines suppressed since then
 }
 
-// NewSparse returns one that has written no line yet.
-func NewSparse() *Sparse { return &Sparse{lines: map[string]sparseLine{}} }
+// NewLogLimiter returns a limiter without any keys.
+func NewLogLimiter() *LogLimiter { return &LogLimiter{states: map[string]logLimitState{}} }
 
-// Due reports whether a line may be written now, and how many were held back since the last.
-func (s *Sparse) Due(now time.Duration, key string) (held int, due bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	last, known := s.lines[key]
-	if known && now-last.at < SparseEach {
-		last.held++
-		s.lines[key] = last
+// Allow reports whether a line with the key may be written now and, if so, how many were suppressed since the last one.
+func (l *LogLimiter) Allow(now time.Duration, key string) (suppressed int, allowed bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	state, known := l.states[key]
+	if known && now-state.writtenAt < LogLimitInterval {
+		state.suppressed++
+		l.states[key] = state
 		return 0, false
 	}
-	s.lines[key] = sparseLine{at: now}
-	return last.held, true
+	l.states[key] = logLimitState{writtenAt: now}
+	return state.suppressed, true
 }
 
-// Sweep forgets keys without a line for long.
-func (s *Sparse) Sweep(now time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for key, last := range s.lines {
-		if now-last.at > sparseKept {
-			delete(s.lines, key)
+// Sweep removes keys whose last line is older than logLimitStateTTL.
+func (l *LogLimiter) Sweep(now time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for key, state := range l.states {
+		if now-state.writtenAt > logLimitStateTTL {
+			delete(l.states, key)
 		}
 	}
 }
--- a/internal/operator/heldback.go
+++ b/internal/operator/heldback.go
@@ -12,39 +12,40 @@
 	"kitetiller/internal/quarantine"
 )
 
-// Held prints the requests under which back ends ended, as the leader sees them.
-func (c *Command) Held() error {
-	for _, reply := range c.collect().Control {
+// ListQuarantined prints the requests under which back ends crashed, and whether each is quarantined, as the leader
+// sees them.
+func (c *Command) ListQuarantined() error {
+	for _, reply := range c.collectStatus().Control {
 		if !reply.LeaseHeld {
 			continue
 		}
 		return c.emit(reply.Suspects, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "FINGERPRINT\tHELD BACK\tBACK ENDS THAT ENDED")
-			for _, e := range reply.Suspects {
-				fmt.Fprintf(w, "%s\t%t\t%s\n", e.Request, len(e.Incarnations) >= quarantine.QuarantineThreshold, strings.Join(e.Incarnations, " "))
+			for _, entry := range reply.Suspects {
+				fmt.Fprintf(w, "%s\t%t\t%s\n", entry.Request, len(entry.Incarnations) >= quarantine.QuarantineThreshold, strings.Join(entry.Incarnations, " "))
 			}
 		})
 	}
-	return eris.New("no control replica leads; see kitetiller status")
+	return eris.New("no control replica is the leader; see kitetiller status")
 }
 
-// Release lets requests be sent again; the list separates their fingerprints by commas.
+// Release releases requests from quarantine, given a list of their fingerprints.
 func (c *Command) Release(list string) error {
 	var requests []quarantine.Fingerprint
-	for _, text := range splitAddresses(list) {
-		var f quarantine.Fingerprint
-		if err := f.UnmarshalText([]byte(text)); err != nil {
+	for _, text := range splitList(list) {
+		var fingerprint quarantine.Fingerprint
+		if err := fingerprint.UnmarshalText([]byte(text)); err != nil {
 			return err
 		}
-		requests = append(requests, f)
+		requests = append(requests, fingerprint)
 	}
 	if len(requests) == 0 {
-		return eris.New("no fingerprint is given; kitetiller held shows them")
+		return eris.New("no fingerprint given; kitetiller held lists them")
 	}
 	change := quarantine.Change{Releases: []quarantine.Release{{Requests: requests, Reason: quarantine.ReasonOperator}}}
-	if _, err := c.ask(control.Request{Catalog: &catalog.Command{Quarantine: &change}}); err != nil {
+	if _, err := c.send(control.Request{Catalog: &catalog.Command{Quarantine: &change}}); err != nil {
 		return err
 	}
-	c.print("released: %d; each may end three more back ends before it is held back again\n", len(requests))
+	c.printf("released: %d; each may end three more back ends before it is held back again\n", len(requests))
 	return nil
 }
--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -6,57 +6,58 @@
 	"testing"
 )
 
-const entry = `{"id":"engine-000017-3","address":"10.1.2.3:8000","zone":"a","state":"ready"},`
+const rosterEntry = `{"id":"engine-000017-3","address":"10.1.2.3:8000","zone":"a","state":"ready"},`
 
-// TestLongBodiesTravelCompressed: and only these; JSON that repeats itself shrinks at least eight times.
-func TestLongBodiesTravelCompressed(t *testing.T) {
+// TestOnlyLongBodiesAreCompressed: repetitive JSON shrinks at least eightfold, and bodies survive the round trip.
+func TestOnlyLongBodiesAreCompressed(t *testing.T) {
 	for _, count := range []int{1, 1000, 2000} {
-		long := []byte(strings.Repeat(entry, count))
-		packed, encoding := Compress(long)
+		body := []byte(strings.Repeat(rosterEntry, count))
+		compressed, encoding := Compress(body)
 		if count == 1 {
-			if encoding != "" || !bytes.Equal(packed, long) {
-				t.Fatalf("a body of %d bytes is encoded as %q", len(long), encoding)
+			if encoding != "" || !bytes.Equal(compressed, body) {
+				t.Fatalf("a body of %d bytes is encoded as %q", len(body), encoding)
 			}
 			continue
 		}
-		if encoding != Gzip || len(packed)*8 > len(long) {
-			t.Fatalf("%d bytes travel as %d, encoding %q", len(long), len(packed), encoding)
+		if encoding != Gzip || len(compressed)*8 > len(body) {
+			t.Fatalf("%d bytes are encoded as %d, encoding %q", len(body), len(compressed), encoding)
 		}
-		back, err := Expand(bytes.NewReader(packed), encoding, len(long))
-		if err != nil || !bytes.Equal(back, long) {
-			t.Fatalf("%d bytes came back as %d: %v", len(long), len(back), err)
+		decompressed, err := Decompress(bytes.NewReader(compressed), encoding, len(body))
+		if err != nil || !bytes.Equal(decompressed, body) {
+			t.Fatalf("a body of %d bytes decompressed to %d different ones: %v", len(body), len(decompressed), err)
 		}
-		if _, err := Expand(bytes.NewReader(packed), encoding, len(long)-1); err == nil {
-			t.Fatal("a body that is too long was taken")
+		if _, err := Decompress(bytes.NewReader(compressed), encoding, len(body)-1); err == nil {
+			t.Fatal("a body longer than the maximum was accepted")
 		}
 	}
-	if _, err := Expand(strings.NewReader("nonsense"), Gzip, 1000); err == nil {
-		t.Fatal("nonsense was expanded")
+	if _, err := Decompress(strings.NewReader("nonsense"), Gzip, 1000); err == nil {
+		t.Fatal("a body that isn't gzip was decompressed")
 	}
-	if _, err := Expand(strings.NewReader("x"), "br", 1000); err == nil {
-		t.Fatal("an encoding that isn't known was taken")
+	if _, err := Decompress(strings.NewReader("x"), "br", 1000); err == nil {
+		t.Fatal("an unsupported encoding was accepted")
 	}
 }
 
-// TestSharedPartsAreCompressedOnce: a message with a large shared part costs about what its own parts do, and reads as one.
+// TestSharedPartsAreCompressedOnce: a message with a shared part decompresses to the whole message, and the shared
+// part is compressed only for the first such message.
 func TestSharedPartsAreCompressedOnce(t *testing.T) {
-	shared, err := NewShared(strings.Split(strings.Repeat(entry, 4000), ","))
+	shared, err := NewSharedJSON(strings.Split(strings.Repeat(rosterEntry, 4000), ","))
 	if err != nil {
 		t.Fatal(err)
 	}
-	parts := []Part{{Own: []byte(`{"kind":"ok","roster":`)}, {Shared: shared}, {Own: []byte(`}`)}}
+	parts := []Part{{Raw: []byte(`{"kind":"ok","roster":`)}, {Shared: shared}, {Raw: []byte(`}`)}}
 	plain, encoding := Assemble(parts, false)
 	if encoding != "" {
-		t.Fatalf("encoding %q for one who doesn't take it", encoding)
+		t.Fatalf("got encoding %q for a recipient that doesn't accept gzip", encoding)
 	}
-	packed, encoding := Assemble(parts, true)
-	back, err := Expand(bytes.NewReader(packed), encoding, len(plain))
-	if err != nil || !bytes.Equal(back, plain) {
-		t.Fatalf("%d bytes came back as %d: %v", len(plain), len(back), err)
+	compressed, encoding := Assemble(parts, true)
+	decompressed, err := Decompress(bytes.NewReader(compressed), encoding, len(plain))
+	if err != nil || !bytes.Equal(decompressed, plain) {
+		t.Fatalf("a message of %d bytes decompressed to %d different ones: %v", len(plain), len(decompressed), err)
 	}
-	first := shared.compressed()
+	firstGzip := shared.compressed()
 	Assemble(parts, true)
-	if again := shared.compressed(); &again[0] != &first[0] {
+	if secondGzip := shared.compressed(); &secondGzip[0] != &firstGzip[0] {
 		t.Fatal("the shared part was compressed twice")
 	}
 }
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -82,7 +82,7 @@
 	log          *zap.Logger
 	now          clock.Source // time since the server was created
 	quarantine   *reporter.Reporter
-	pushbackLogs *node.Sparse // rate limit of pushback log lines, by back end
+	pushbackLogs *node.LogLimiter // rate limit of pushback log lines, by back end
 	incarnation  uint64
 	hasher       *prefix.Hasher
 
@@ -110,7 +110,7 @@
 
 // NewServer opens the data folder and restores the newest stored settings.
 func NewServer(ctx context.Context, file *node.File, log *zap.Logger) (*Server, error) {
-	disk, err := openDiskState(file.Data, file.Name)
+	disk, err := openDiskState(file.DataDir, file.Name)
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	links := transport.WatchLinkFile(ctx, file.Links, file.Zone)
+	links := transport.WatchLinkFile(ctx, file.LinkFile, file.Zone)
 	client := transport.NewClient(file.ClusterToken, links)
 	server := &Server{
 		file: file, log: log, now: clock.NewSource(nil), incarnation: disk.incarnation, disk: disk,
@@ -127,16 +127,16 @@
 		exchanges: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
 		pollers: map[string]context.CancelFunc{}, client: client,
 		backendClient: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
-		control:       control.NewClient(client, file.Router.Control), pushbackLogs: node.NewSparse(),
+		control:       control.NewClient(client, file.Router.Control), pushbackLogs: node.NewLogLimiter(),
 	}
 	server.core = core.New(core.Config{
 		Router: file.Name, Zone: file.Zone, Seed: disk.incarnation, BlockTokens: file.Router.BlockTokens,
 		IndexLimit: file.Router.IndexBlocks, ZoneLatency: file.Router.ZoneLatency, Vault: file.Router.Vault,
-		ImportRate: file.Router.ImportTokens,
+		ImportRate: file.Router.ImportTokensPerSecond,
 	})
 	server.session = session.New(session.Identity{
-		Router: file.Name, Incarnation: disk.incarnation, Zone: file.Zone, Address: file.Router.Internal,
-	}, disk.saved, file.Router.HeartbeatEvery, guard.Set{})
+		Router: file.Name, Incarnation: disk.incarnation, Zone: file.Zone, Address: file.Router.PeerAddress,
+	}, disk.saved, file.Router.HeartbeatInterval, guard.Set{})
 	server.announcer = newAnnouncer(client)
 	server.quarantine = server.newReporter()
 	server.metrics = newMetrics(server)
@@ -195,13 +195,13 @@
 	return err
 }
 
-// drain rejects new requests, waits for those in progress up to DrainLimit, closes the session and shuts down the HTTP
+// drain rejects new requests, waits for those in progress up to DrainTimeout, closes the session and shuts down the HTTP
 // server. The session is closed only after renewSession has returned.
 func (s *Server) drain(public *http.Server, stopRenewing func()) {
 	s.log.Info("draining: finishing requests in progress")
 	s.draining.Store(true)
 	s.events <- core.EventDrain{}
-	deadline := time.Now().Add(s.file.Router.DrainLimit)
+	deadline := time.Now().Add(s.file.Router.DrainTimeout)
 	earliestEnd := time.Now().Add(minDrainTime)
 	for time.Now().Before(deadline) && (s.inFlight() > 0 || time.Now().Before(earliestEnd)) {
 		time.Sleep(maxTickInterval)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestOnlyOneChangeOfABaseVersionIsAccepted(t *testing.T) {
+func TestSecondChangeOnSameBaseVersionConflicts(t *testing.T) {
 	m := NewMachine()
 	m.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10")), 0)
 	outcome := m.Apply(newChange(0, "b", setEdit("/", "queue_limit", "20")), 0)
@@ -61,14 +61,13 @@
 		t.Fatal(err)
 	}
 	if again := restarted.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10")), 0); again.Kind != first.Kind || again.Version != first.Version {
-		t.Fatalf("outcome %+v, first %+v", again, first)
+		t.Fatalf("outcome of the resent change %+v, want %+v", again, first)
 	}
 	if reused := restarted.Apply(newChange(2, "a", setEdit("/", "queue_limit", "99")), 0); reused.Kind != OutcomeOperationIDReused {
-		t.Fatalf("same id with other content: %+v", reused)
+		t.Fatalf("reused operation ID with other content: outcome %+v", reused)
 	}
 }
 
-// TestOneInvalidEditRejectsTheWholeChange: one wrong edit keeps all of them out.
 func TestOneInvalidEditRejectsTheWholeChange(t *testing.T) {
 	m := NewMachine()
 	outcome := m.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10"), setEdit("/", "time_weight", "7"), setEdit("/", "no_such", "1")), 0)
@@ -77,20 +76,20 @@
 	}
 }
 
-// TestMachineMatchesModel: versions, outcomes and values against a plain map.
+// TestMachineMatchesModel compares versions, outcomes and values with a plain map, over changes, resends and restarts.
 func TestMachineMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, wantLimits := NewMachine(), map[Path]int{}
 		var version uint64
 		outcomes := map[string]Outcome{}
-		sent := []Change{}
+		changes := []Change{}
 		path := rapid.SampledFrom([]Path{"/", "/z1", "/z2", "/z1/s", "/*/s"})
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
-				path, value := path.Draw(t, "path"), rapid.IntRange(-5, 50).Draw(t, "value")
+				nodePath, value := path.Draw(t, "path"), rapid.IntRange(-5, 50).Draw(t, "value")
 				base := version - min(version, uint64(rapid.IntRange(0, 2).Draw(t, "behind")))
-				c := newChange(base, fmt.Sprint(len(sent)), setEdit(path, "queue_limit", fmt.Sprint(value)))
-				sent = append(sent, c)
+				c := newChange(base, fmt.Sprint(len(changes)), setEdit(nodePath, "queue_limit", fmt.Sprint(value)))
+				changes = append(changes, c)
 				outcome := m.Apply(c, 0)
 				outcomes[c.OperationID] = outcome
 				switch {
@@ -100,15 +99,15 @@
 					expectOutcome(t, outcome, OutcomeInvalid, version)
 				default:
 					version++
-					wantLimits[path] = value
+					wantLimits[nodePath] = value
 					expectOutcome(t, outcome, OutcomeAccepted, version)
 				}
 			},
 			"resend": func(t *rapid.T) {
-				if len(sent) == 0 {
-					t.Skip("nothing was sent")
+				if len(changes) == 0 {
+					t.Skip("no change to resend")
 				}
-				c := rapid.SampledFrom(sent).Draw(t, "change")
+				c := rapid.SampledFrom(changes).Draw(t, "change")
 				first := outcomes[c.OperationID]
 				expectOutcome(t, m.Apply(c, 0), first.Kind, first.Version)
 			},
@@ -124,9 +123,9 @@
 			},
 			"": func(t *rapid.T) {
 				got := map[Path]int{}
-				for at, node := range m.Tree().Nodes {
+				for path, node := range m.Tree().Nodes {
 					if node.QueueLimit != nil {
-						got[at] = *node.QueueLimit
+						got[path] = *node.QueueLimit
 					}
 				}
 				if !maps.Equal(got, wantLimits) {
@@ -139,11 +138,12 @@
 
 func expectOutcome(t *rapid.T, outcome Outcome, kind OutcomeKind, version uint64) {
 	if outcome.Kind != kind || outcome.Version != version {
-		t.Fatalf("outcome %s at %d, want %s at %d", outcome.Kind, outcome.Version, kind, version)
+		t.Fatalf("outcome %s at version %d, want %s at version %d", outcome.Kind, outcome.Version, kind, version)
 	}
 }
 
-// TestEditsSinceReproduceTheCurrentTree: deltas and the whole tree must never differ.
+// TestEditsSinceReproduceTheCurrentTree checks that EditsSince, applied to the tree of an older version, yields the
+// current tree.
 func TestEditsSinceReproduceTheCurrentTree(t *testing.T) {
 	m := NewMachine()
 	trees := []Tree{m.Tree()}
@@ -154,14 +154,14 @@
 	for base, tree := range trees {
 		edits, ok := m.EditsSince(uint64(base))
 		if !ok {
-			t.Fatalf("no edits since version %d", base)
+			t.Fatalf("version %d: edits not available", base)
 		}
 		if base == len(trees)-1 {
 			continue
 		}
 		next, problems := tree.Apply(edits)
 		if len(problems) > 0 || len(Diff(next, m.Tree())) > 0 {
-			t.Fatalf("edits since %d lead elsewhere: %v, %v", base, problems, Diff(next, m.Tree()))
+			t.Fatalf("edits since version %d: problems %v, remaining differences %v", base, problems, Diff(next, m.Tree()))
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	for _, pair := range [][2]Tree{{kigaliTree, nilewashTree}, {nilewashTree, kigaliTree}, {NewTree(), kigaliTree}, {kigaliTree, NewTree()}} {
 		next, problems := pair[0].Apply(DiffEdits(pair[0], pair[1]))
 		if len(problems) > 0 || len(Diff(next, pair[1])) > 0 {
-			t.Fatalf("problems %v, left over %v", problems, Diff(next, pair[1]))
+			t.Fatalf("problems %v, remaining differences %v", problems, Diff(next, pair[1]))
 		}
 	}
 }
@@ -202,14 +202,14 @@
 
 func TestParseFileReportsAllProblems(t *testing.T) {
 	_, problems := ParseFile([]byte(fileWithThreeProblems))
-	var text []string
+	var messages []string
 	for _, problem := range problems {
-		text = append(text, problem.String())
+		messages = append(messages, problem.String())
 	}
-	all := strings.Join(text, "\n")
+	all := strings.Join(messages, "\n")
 	for _, want := range []string{"line 2", "time_weight", "0 to 1", "line 3", "did you mean queue_limit", "line 9", "llm | service"} {
 		if !strings.Contains(all, want) {
-			t.Errorf("%q is not named in:\n%s", want, all)
+			t.Errorf("problems do not contain %q:\n%s", want, all)
 		}
 	}
 	if len(problems) != 3 {
@@ -217,7 +217,7 @@
 	}
 }
 
-// FuzzParseFile: no bytes may crash the parser, and a tree without problems must pass its own check.
+// FuzzParseFile checks that no input makes ParseFile panic and that each tree it accepts passes Check.
 func FuzzParseFile(f *testing.F) {
 	f.Add([]byte(fileWithThreeProblems))
 	f.Add([]byte("settings: {queue_limit: 3}\n"))
@@ -225,12 +225,13 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		tree, problems := ParseFile(data)
 		if len(problems) == 0 && len(tree.Check()) > 0 {
-			t.Fatalf("accepted, but the check says %v", tree.Check())
+			t.Fatalf("accepted tree fails Check: %v", tree.Check())
 		}
 	})
 }
 
-// TestAcceptedTreesPassFullCheck: checking only what was edited must accept nothing that the whole check refuses.
+// TestAcceptedTreesPassFullCheck checks that Apply, which validates only the edited nodes, accepts no tree that Check
+// rejects.
 func TestAcceptedTreesPassFullCheck(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := NewTree()
@@ -247,7 +248,7 @@
 				continue
 			}
 			if found := next.Check(); len(found) > 0 {
-				t.Fatalf("%+v was accepted, but: %v", edits, found)
+				t.Fatalf("tree accepted after %+v fails Check: %v", edits, found)
 			}
 			tree = next
 		}
