--- a/cmd/kitelab/account.go
+++ b/cmd/kitelab/account.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			return err
 		}
-		account.PrintPairs(os.Stdout, account.Pairs(before, days))
+		account.PrintComparisons(os.Stdout, account.CompareDays(before, days))
 	}
 	if f.plot == "" {
 		return nil
@@ -56,7 +56,7 @@
 	return account.Plot(f.plot, days, f.span)
 }
 
-// days returns the days of the reports, and that of the log.
+// days returns one day for each report, and one for the log file.
 func (f *accountFlags) days() ([]account.Day, error) {
 	var days []account.Day
 	if f.reports != "" {
@@ -75,7 +75,7 @@
 	}
 	defer file.Close()
 	lines, err := account.ReadLines(file)
-	return append(days, account.Day{Name: f.log, Lines: lines}), err
+	return append(days, account.Day{Name: f.log, LogSummary: lines}), err
 }
 
 func reportsIn(folder string) ([]account.Day, error) {
--- a/cmd/kitelab/mix_test.go
+++ b/cmd/kitelab/mix_test.go
@@ -8,20 +8,20 @@
 	"kitetiller/internal/lab/soak"
 )
 
-// TestOldestThatTakesPart: one that broke a promise, or that couldn't be judged, counts with all before it.
-func TestOldestThatTakesPart(t *testing.T) {
-	good := func(commit string) mixed { return mixed{commit: commit, plays: 1} }
-	broke := mixed{commit: "broke", plays: 1, broken: map[soak.Guarantee]int{soak.ServiceRecovers: 1}}
-	mute := mixed{commit: "mute", cannot: eris.New("acknowledged nothing")}
+// A build that broke a promise, or whose runs were inconclusive, excludes itself and all older builds.
+func TestOldestCompatible(t *testing.T) {
+	compatible := func(commit string) buildResult { return buildResult{commit: commit, runs: 1} }
+	violating := buildResult{commit: "broke", runs: 1, violations: map[soak.Guarantee]int{soak.ServiceRecovers: 1}}
+	failed := buildResult{commit: "mute", failure: eris.New("acknowledged nothing")}
 	for _, row := range []struct {
-		all    []mixed
-		wanted string
+		results []buildResult
+		want    string
 	}{
-		{nil, ""}, {[]mixed{good("a")}, "a"}, {[]mixed{good("a"), good("b")}, "a"}, {[]mixed{good("a"), broke, good("c"), good("d")}, "c"},
-		{[]mixed{mute, good("b")}, "b"}, {[]mixed{good("a"), mute}, ""},
+		{nil, ""}, {[]buildResult{compatible("a")}, "a"}, {[]buildResult{compatible("a"), compatible("b")}, "a"}, {[]buildResult{compatible("a"), violating, compatible("c"), compatible("d")}, "c"},
+		{[]buildResult{failed, compatible("b")}, "b"}, {[]buildResult{compatible("a"), failed}, ""},
 	} {
-		if got, found := oldestOf(row.all); got != row.wanted || found != (row.wanted != "") {
-			t.Errorf("%v: %q, wanted %q", row.all, got, row.wanted)
+		if got, found := oldestCompatible(row.results); got != row.want || found != (row.want != "") {
+			t.Errorf("%v: got %q, want %q", row.results, got, row.want)
 		}
 	}
 }
--- a/cmd/kitetiller/main.go
+++ b/cmd/kitetiller/main.go
@@ -1,5 +1,5 @@
-// Command kitetiller is the router for language-model traffic: its data plane, its control replicas, and the
-// operators' commands.
+// Command kitetiller runs routers and control replicas for language-model traffic, and provides the operators'
+// commands.
 package main
 
 import (
@@ -27,25 +27,25 @@
 
 // arguments holds every flag and positional value of the command line.
 type arguments struct {
-	without   string // mechanisms that are off
-	options   operator.Options
-	change    operator.ChangeOptions
-	file      string
-	listen    string
-	data      string
-	zone      string
-	logLevel  string
-	path      string
-	setting   string
-	value     string
-	request   string
-	role      string
-	logs      string
-	release   string
-	effective bool
+	disabledMechanisms string // mechanisms to disable, separated by commas
+	options            operator.Options
+	change             operator.ChangeOptions
+	file               string
+	listen             string
+	data               string
+	zone               string
+	logLevel           string
+	path               string
+	setting            string
+	value              string
+	request            string
+	role               string
+	logs               string
+	release            string
+	effective          bool
 }
 
-// command is one subcommand and what runs it.
+// command is one subcommand: the parser of its flags and the function that runs it.
 type command struct {
 	parser *flaggy.Subcommand
 	run    func(*arguments) error
@@ -93,7 +93,7 @@
 	platformCommand.Description = "run a process on the users' platform, with its settings file"
 	platformCommand.AddPositionalValue(&args.role, "ROLE", 1, true, platform.RoleGateway+" or "+platform.RoleControl)
 	platformCommand.AddPositionalValue(&args.file, "FILE", 2, true, "settings file of this process")
-	platformCommand.String(&args.without, "", "without", "mechanisms of the decision to switch off, with commas, to measure what they are worth")
+	platformCommand.String(&args.disabledMechanisms, "", "without", "mechanisms of the decision to switch off, with commas, to measure what they are worth")
 	versionCommand := flaggy.NewSubcommand("version")
 	versionCommand.Description = "print the version"
 	parser.AttachSubcommand(routerCommand, 1)
@@ -102,7 +102,7 @@
 	parser.AttachSubcommand(versionCommand, 1)
 	commands := []command{
 		{routerCommand, runRouter}, {controlCommand, runControl},
-		{platformCommand, func(args *arguments) error { return platform.Run(args.role, args.file, args.without) }},
+		{platformCommand, func(args *arguments) error { return platform.Run(args.role, args.file, args.disabledMechanisms) }},
 		{versionCommand, func(*arguments) error { fmt.Println("kitetiller", version); return nil }},
 	}
 	commands = append(commands, defineViews(parser, args)...)
@@ -131,7 +131,7 @@
 	sub.Bool(&args.change.Wait, "w", "wait", "wait until the change is in force everywhere")
 }
 
-// explainRequest asks the routers, or reads log files where some are named.
+// explainRequest reads the given log files, or queries the routers if there are none.
 func explainRequest(args *arguments) error {
 	if args.logs != "" {
 		return operator.ExplainLogs(os.Stdout, strings.Split(args.logs, ","), args.request)
@@ -151,18 +151,18 @@
 	explain.AddPositionalValue(&args.request, "REQUEST", 1, true, "the request's X-Request-Id")
 	operatorFlags(explain, args)
 	explain.String(&args.logs, "", "logs", "log files, with commas: tell the story of a request or an instance from them")
-	held := flaggy.NewSubcommand("held")
-	held.Description = "show the requests under which back ends ended, and let them be sent again"
-	operatorFlags(held, args)
-	held.String(&args.release, "", "release", "fingerprints of requests that may be sent again, with commas")
-	for _, sub := range []*flaggy.Subcommand{status, members, explain, held} {
+	quarantined := flaggy.NewSubcommand("held")
+	quarantined.Description = "show the requests under which back ends ended, and let them be sent again"
+	operatorFlags(quarantined, args)
+	quarantined.String(&args.release, "", "release", "fingerprints of requests that may be sent again, with commas")
+	for _, sub := range []*flaggy.Subcommand{status, members, explain, quarantined} {
 		parser.AttachSubcommand(sub, 1)
 	}
 	return []command{
 		{status, withOperator(func(o *operator.Command, _ *arguments) error { return o.Status() })},
 		{members, withOperator(func(o *operator.Command, _ *arguments) error { return o.Members() })},
 		{explain, explainRequest},
-		{held, withOperator(func(o *operator.Command, a *arguments) error {
+		{quarantined, withOperator(func(o *operator.Command, a *arguments) error {
 			if a.release != "" {
 				return o.Release(a.release)
 			}
@@ -173,11 +173,11 @@
 
 func withOperator(run func(*operator.Command, *arguments) error) func(*arguments) error {
 	return func(args *arguments) error {
-		prepared, err := operator.New(args.options)
+		command, err := operator.New(args.options)
 		if err != nil {
 			return err
 		}
-		return run(prepared, args)
+		return run(command, args)
 	}
 }
 
@@ -227,7 +227,7 @@
 	return nil
 }
 
-// loadNode reads the process's file and applies the flags that override it.
+// loadNode reads the process's settings file and applies the flags that override it.
 func loadNode(args *arguments) (*node.File, error) {
 	file, err := node.Load(args.file)
 	if err != nil {
@@ -255,7 +255,7 @@
 		return err
 	}
 	if file.Router == nil {
-		return eris.Errorf("%s has no section router", args.file)
+		return eris.Errorf("%s has no router section", args.file)
 	}
 	log, err := node.NewLogger(file.LogLevel, file.Name)
 	if err != nil {
@@ -277,7 +277,7 @@
 		return err
 	}
 	if file.Control == nil {
-		return eris.Errorf("%s has no section control", args.file)
+		return eris.Errorf("%s has no control section", args.file)
 	}
 	log, err := node.NewLogger(file.LogLevel, file.Name)
 	if err != nil {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	loopback         = "127.0.0.1"
-	lowestPort       = 20000
-	highestPort      = 30000 // below the ephemeral ports that the kernel hands to clients
-	portTries        = 200
-	controlCount     = 3
-	filePermissions  = 0o600
-	folderPermission = 0o755
+	loopback             = "127.0.0.1"
+	minPort              = 20000
+	maxPort              = 30000 // below the ephemeral ports that the kernel hands to clients
+	maxPortAttempts      = 200
+	controlCount         = 3
+	filePermissions      = 0o600
+	directoryPermissions = 0o755
 )
 
 // Process is one process of the fleet.
@@ -41,25 +41,25 @@
 
 // Layout is a deployment laid out on this machine.
 type Layout struct {
-	Routers     []string
-	Control     []string // admin addresses
-	Backends    []string // small services
-	Platform    string
-	Keys        []string // an API key of each tenant, in the deployment's order
-	AdminToken  string
-	Processes   []Process
-	deployment  *plan.Deployment
-	file        string
-	data        string
-	nextPort    int
-	links       transport.LinkFile
-	machines    []core.Machine
-	internal    []string
-	vault       string
-	weights     string
-	clusterKey  string
-	prefixKey   string
-	spareNumber int
+	Routers         []string
+	Control         []string // admin addresses
+	Backends        []string // small services
+	Platform        string
+	Keys            []string // an API key of each tenant, in the deployment's order
+	AdminToken      string
+	Processes       []Process
+	deployment      *plan.Deployment
+	deploymentFile  string
+	dataDir         string
+	nextPort        int
+	links           transport.LinkFile
+	machines        []core.Machine
+	controlInternal []string
+	vaultAddress    string
+	weightsAddress  string
+	clusterToken    string
+	prefixKey       string
+	spareCount      int
 }
 
 // Create lays a deployment file out under a data folder.
@@ -73,8 +73,8 @@
 		return nil, eris.Wrap(err, "resolve data folder")
 	}
 	layout := &Layout{
-		deployment: deployment, file: file, data: absolute, AdminToken: secret(16), clusterKey: secret(16), prefixKey: secret(32),
-		links: transport.LinkFile{Zones: map[string]string{}, LatencyMS: deployment.ZoneLatency.Seconds() * 1000}, spareNumber: spares,
+		deployment: deployment, deploymentFile: file, dataDir: absolute, AdminToken: randomHex(16), clusterToken: randomHex(16), prefixKey: randomHex(32),
+		links: transport.LinkFile{Zones: map[string]string{}, LatencyMS: deployment.ZoneLatency.Seconds() * 1000}, spareCount: spares,
 	}
 	count := 2*(controlCount+spares) + 2*len(deployment.Zones) + deployment.Model.Workers + deployment.Small.Workers + 4
 	if layout.nextPort, err = freePorts(count); err != nil {
@@ -83,7 +83,7 @@
 	return layout, layout.build()
 }
 
-func secret(length int) string {
+func randomHex(length int) string {
 	random := make([]byte, length)
 	_, _ = rand.Read(random) // never fails
 	return hex.EncodeToString(random)
@@ -91,8 +91,8 @@
 
 // freePorts finds a run of ports that nothing listens on.
 func freePorts(count int) (int, error) {
-	for range portTries {
-		base := lowestPort + mathrand.IntN(highestPort-lowestPort-count)
+	for range maxPortAttempts {
+		base := minPort + mathrand.IntN(maxPort-minPort-count)
 		if allFree(base, count) {
 			return base, nil
 		}
@@ -111,18 +111,18 @@
 	return true
 }
 
-// address hands out the next port in a zone.
-func (l *Layout) address(zone string) string {
+// allocateAddress hands out the next port in a zone.
+func (l *Layout) allocateAddress(zone string) string {
 	address := fmt.Sprintf("%s:%d", loopback, l.nextPort)
 	l.nextPort++
 	l.links.Zones[address] = zone
 	return address
 }
 
-func (l *Layout) zone(number int) string { return l.deployment.Zones[number%len(l.deployment.Zones)] }
+func (l *Layout) zoneOf(number int) string { return l.deployment.Zones[number%len(l.deployment.Zones)] }
 
 func (l *Layout) build() error {
-	if err := os.MkdirAll(l.data, folderPermission); err != nil {
+	if err := os.MkdirAll(l.dataDir, directoryPermissions); err != nil {
 		return eris.Wrap(err, "create data folder")
 	}
 	l.addStores()
@@ -136,53 +136,53 @@
 	if err := l.addRouters(); err != nil {
 		return err
 	}
-	if err := l.writeTree(); err != nil {
+	if err := l.writeSettingsTree(); err != nil {
 		return err
 	}
 	return l.writeJSON("links.json", l.links)
 }
 
-func (l *Layout) add(name, zone, binary string, arguments ...string) {
+func (l *Layout) addProcess(name, zone, binary string, arguments ...string) {
 	l.Processes = append(l.Processes, Process{Name: name, Zone: zone, Binary: binary, Arguments: arguments})
 }
 
-func (l *Layout) path(name string) string { return filepath.Join(l.data, name) }
+func (l *Layout) path(name string) string { return filepath.Join(l.dataDir, name) }
 
 func (l *Layout) addStores() {
-	l.Platform, l.vault, l.weights = l.address(""), l.address(""), l.address("")
-	l.add("platform", "", "kitelab", "platform", "--listen", l.Platform, "--machines", l.path("machines.json"), "--deployment", l.file)
-	l.add(l.deployment.Vault.Name, "", "kitelab", "vault", "--listen", l.vault, "--deployment", l.file)
-	l.add("weights", "", "kitelab", "weights", "--listen", l.weights, "--deployment", l.file)
+	l.Platform, l.vaultAddress, l.weightsAddress = l.allocateAddress(""), l.allocateAddress(""), l.allocateAddress("")
+	l.addProcess("platform", "", "kitelab", "platform", "--listen", l.Platform, "--machines", l.path("machines.json"), "--deployment", l.deploymentFile)
+	l.addProcess(l.deployment.Vault.Name, "", "kitelab", "vault", "--listen", l.vaultAddress, "--deployment", l.deploymentFile)
+	l.addProcess("weights", "", "kitelab", "weights", "--listen", l.weightsAddress, "--deployment", l.deploymentFile)
 }
 
 func (l *Layout) addBackends() {
 	for i := range l.deployment.Model.Workers {
-		name, zone := fmt.Sprintf("%s-%d", l.deployment.Model.Name, i+1), l.zone(i)
-		address := l.address(zone)
+		name, zone := fmt.Sprintf("%s-%d", l.deployment.Model.Name, i+1), l.zoneOf(i)
+		address := l.allocateAddress(zone)
 		l.machines = append(l.machines, core.Machine{Name: name, Zone: zone, Service: l.deployment.Model.Name, Address: address})
-		l.add(name, zone, "kitelab", "engine", "--name", name, "--zone", zone, "--listen", address,
-			"--weight-store", l.weights, "--deployment", l.file)
+		l.addProcess(name, zone, "kitelab", "engine", "--name", name, "--zone", zone, "--listen", address,
+			"--weight-store", l.weightsAddress, "--deployment", l.deploymentFile)
 	}
 	for i := range l.deployment.Small.Workers {
-		name, zone := fmt.Sprintf("%s-%d", l.deployment.Small.Name, i+1), l.zone(i)
-		address := l.address(zone)
+		name, zone := fmt.Sprintf("%s-%d", l.deployment.Small.Name, i+1), l.zoneOf(i)
+		address := l.allocateAddress(zone)
 		l.Backends = append(l.Backends, address)
 		l.machines = append(l.machines, core.Machine{Name: name, Zone: zone, Service: l.deployment.Small.Name, Address: address})
-		l.add(name, zone, "kitelab", "backend", "--name", name, "--zone", zone, "--listen", address, "--deployment", l.file)
+		l.addProcess(name, zone, "kitelab", "backend", "--name", name, "--zone", zone, "--listen", address, "--deployment", l.deploymentFile)
 	}
 }
 
 func (l *Layout) addControl() error {
-	total := controlCount + l.spareNumber
+	total := controlCount + l.spareCount
 	var admin []string
 	for i := range total {
-		l.internal = append(l.internal, l.address(l.zone(i)))
-		admin = append(admin, l.address(l.zone(i)))
+		l.controlInternal = append(l.controlInternal, l.allocateAddress(l.zoneOf(i)))
+		admin = append(admin, l.allocateAddress(l.zoneOf(i)))
 	}
 	for i := range total {
-		name, zone := fmt.Sprintf("control-%d", i+1), l.zone(i)
+		name, zone := fmt.Sprintf("control-%d", i+1), l.zoneOf(i)
 		text := l.nodeHeader(name, zone) + fmt.Sprintf("control:\n  internal: %s\n  admin: %s\n  founders: [%s]\n  platform: %s\n  repair_after: 5s\n",
-			l.internal[i], admin[i], strings.Join(l.internal[:controlCount], ", "), l.Platform)
+			l.controlInternal[i], admin[i], strings.Join(l.controlInternal[:controlCount], ", "), l.Platform)
 		if err := l.addNode(name, zone, "control", text); err != nil {
 			return err
 		}
@@ -193,10 +193,10 @@
 
 func (l *Layout) addRouters() error {
 	for i, zone := range l.deployment.Zones {
-		name, listen := fmt.Sprintf("router-%d", i+1), l.address(zone)
+		name, listen := fmt.Sprintf("router-%d", i+1), l.allocateAddress(zone)
 		l.Routers = append(l.Routers, listen)
 		text := l.nodeHeader(name, zone) + fmt.Sprintf("router:\n  listen: %s\n  internal: %s\n  control: [%s]\n  platform: %s\n  vault: %s\n  prefix_key: %s\n  import_tokens_per_s: %.0f\n  zone_latency:\n",
-			listen, l.address(zone), strings.Join(l.internal[:controlCount], ", "), l.Platform, l.vault, l.prefixKey, l.deployment.Rates().ImportTokens)
+			listen, l.allocateAddress(zone), strings.Join(l.controlInternal[:controlCount], ", "), l.Platform, l.vaultAddress, l.prefixKey, l.deployment.Rates().ImportTokens)
 		for _, other := range l.deployment.Zones {
 			if other != zone {
 				text += fmt.Sprintf("    %s: %s\n", other, l.deployment.ZoneLatency)
@@ -211,7 +211,7 @@
 
 func (l *Layout) nodeHeader(name, zone string) string {
 	return fmt.Sprintf("name: %s\nzone: %s\ndata: %s\ncluster_token: %s\nadmin_token: %s\nlinks: %s\n",
-		name, zone, l.path(name), l.clusterKey, l.AdminToken, l.path("links.json"))
+		name, zone, l.path(name), l.clusterToken, l.AdminToken, l.path("links.json"))
 }
 
 func (l *Layout) addNode(name, zone, kind, text string) error {
@@ -219,28 +219,28 @@
 	if err := os.WriteFile(path, []byte(text), filePermissions); err != nil {
 		return eris.Wrapf(err, "write %s", path)
 	}
-	l.add(name, zone, "kitetiller", kind, path)
+	l.addProcess(name, zone, "kitetiller", kind, path)
 	return nil
 }
 
-// writeTree writes the deployment's tree with an API key for each tenant.
-func (l *Layout) writeTree() error {
-	data, err := os.ReadFile(l.file)
+// writeSettingsTree writes the deployment's tree with an API key for each tenant.
+func (l *Layout) writeSettingsTree() error {
+	data, err := os.ReadFile(l.deploymentFile)
 	if err != nil {
-		return eris.Wrapf(err, "read %s", l.file)
+		return eris.Wrapf(err, "read %s", l.deploymentFile)
 	}
 	text := string(data)
 	for _, tenant := range l.deployment.Tenants {
-		key := tenant.Name + "-" + secret(12)
+		key := tenant.Name + "-" + randomHex(12)
 		l.Keys = append(l.Keys, key)
 		digest := sha256.Sum256([]byte(key))
-		text = addKey(text, tenant.Name, hex.EncodeToString(digest[:]))
+		text = addKeyDigest(text, tenant.Name, hex.EncodeToString(digest[:]))
 	}
 	return eris.Wrap(os.WriteFile(l.path("tree.yaml"), []byte(text), filePermissions), "write tree")
 }
 
-// addKey puts a key digest into the one-line settings of a tenant.
-func addKey(text, tenant, digest string) string {
+// addKeyDigest puts a key digest into the one-line settings of a tenant.
+func addKeyDigest(text, tenant, digest string) string {
 	setting := fmt.Sprintf("api_key_sha256: [\"%s\"]", digest)
 	text = strings.Replace(text, tenant+": {settings: {", tenant+": {settings: {"+setting+", ", 1)
 	return strings.Replace(text, tenant+": {}", tenant+": {settings: {"+setting+"}}", 1)
@@ -267,8 +267,8 @@
 	if err := os.WriteFile(l.path("processes.tsv"), []byte(processes.String()), filePermissions); err != nil {
 		return eris.Wrap(err, "write process list")
 	}
-	facts := fmt.Sprintf("ROUTERS=%q\nCONTROL=%q\nBACKENDS=%q\nPLATFORM=%q\nAPI_KEY=%q\nAPI_KEY_2=%q\nADMIN_TOKEN=%q\nMODEL_SERVICE=%q\nSMALL_SERVICE=%q\n",
+	environment := fmt.Sprintf("ROUTERS=%q\nCONTROL=%q\nBACKENDS=%q\nPLATFORM=%q\nAPI_KEY=%q\nAPI_KEY_2=%q\nADMIN_TOKEN=%q\nMODEL_SERVICE=%q\nSMALL_SERVICE=%q\n",
 		strings.Join(l.Routers, " "), strings.Join(l.Control, " "), strings.Join(l.Backends, " "), l.Platform,
 		l.Keys[0], l.Keys[min(1, len(l.Keys)-1)], l.AdminToken, l.deployment.Model.Name, l.deployment.Small.Name)
-	return eris.Wrap(os.WriteFile(l.path("fleet.env"), []byte(facts), filePermissions), "write facts")
+	return eris.Wrap(os.WriteFile(l.path("fleet.env"), []byte(environment), filePermissions), "write facts")
 }
--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	folder = "testdata/forms"
-	// production is where the forms lie that the build in production writes.
-	production = folder + "/production"
-	suffix     = ".golden"
-	// deepest bounds how deep values are filled that hold others of their own type.
-	deepest = 12
-	// smallMost bounds whole numbers, so that they fit every kind of them.
-	smallMost = 99
+	fixtureDir = "testdata/forms"
+	// productionDir is where the forms lie that the build in productionDir writes.
+	productionDir = fixtureDir + "/production"
+	suffix        = ".golden"
+	// maxDepth bounds how deep values are filled that hold others of their own type.
+	maxDepth = 12
+	// maxInteger bounds whole numbers, so that they fit every kind of them.
+	maxInteger = 99
 )
 
 // Check checks the form of a type under a name. The file of the build in production may be missing: it didn't know the form then.
@@ -38,22 +38,22 @@
 // CheckValue is Check of a value that was made otherwise, since its fields can't be set from outside.
 func CheckValue[T any](t *testing.T, name string, full *T) {
 	t.Helper()
-	text := written(t, full)
-	g := goldie.New(t, goldie.WithFixtureDir(folder), goldie.WithNameSuffix(suffix))
+	text := encode(t, full)
+	g := goldie.New(t, goldie.WithFixtureDir(fixtureDir), goldie.WithNameSuffix(suffix))
 	g.Assert(t, name, text)
-	known(t, name, text, new(T))
-	earlier, err := os.ReadFile(filepath.Join(production, name+suffix))
+	checkRoundTrip(t, name, text, new(T))
+	productionText, err := os.ReadFile(filepath.Join(productionDir, name+suffix))
 	if os.IsNotExist(err) {
 		return
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	known(t, name+" of the build in production", earlier, new(T))
+	checkRoundTrip(t, name+" of the build in production", productionText, new(T))
 }
 
-// known reads a form and checks that every field of it is known and written again.
-func known(t *testing.T, name string, text []byte, into any) {
+// checkRoundTrip reads a form and checks that every field of it is checkRoundTrip and written again.
+func checkRoundTrip(t *testing.T, name string, text []byte, into any) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -65,15 +65,15 @@
 	if err := json.Unmarshal(text, &before); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(written(t, into), &after); err != nil {
+	if err := json.Unmarshal(encode(t, into), &after); err != nil {
 		t.Fatal(err)
 	}
-	if lost := missing("", before, after); lost != "" {
-		t.Errorf("%s: %s", name, lost)
+	if difference := firstDifference("", before, after); difference != "" {
+		t.Errorf("%s: %s", name, difference)
 	}
 }
 
-func written(t *testing.T, value any) []byte {
+func encode(t *testing.T, value any) []byte {
 	t.Helper()
 	text, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
@@ -82,29 +82,29 @@
 	return append(text, '\n')
 }
 
-// missing returns what of a JSON value another one lacks, or "".
-func missing(path string, value, other any) string {
+// firstDifference returns what of a JSON value another one lacks, or "".
+func firstDifference(path string, value, other any) string {
 	switch typed := value.(type) {
 	case map[string]any:
-		held, _ := other.(map[string]any)
+		otherMap, _ := other.(map[string]any)
 		for key, item := range typed {
-			found, there := held[key]
-			if !there {
+			otherItem, exists := otherMap[key]
+			if !exists {
 				return path + "/" + key + " is lost"
 			}
-			if lost := missing(path+"/"+key, item, found); lost != "" {
-				return lost
+			if difference := firstDifference(path+"/"+key, item, otherItem); difference != "" {
+				return difference
 			}
 		}
 		return ""
 	case []any:
-		held, _ := other.([]any)
-		if len(held) != len(typed) {
+		otherItems, _ := other.([]any)
+		if len(otherItems) != len(typed) {
 			return path + " has another length"
 		}
 		for i, item := range typed {
-			if lost := missing(fmt.Sprint(path, "/", i), item, held[i]); lost != "" {
-				return lost
+			if difference := firstDifference(fmt.Sprint(path, "/", i), item, otherItems[i]); difference != "" {
+				return difference
 			}
 		}
 		return ""
@@ -119,15 +119,15 @@
 type filler struct{ count int }
 
 var (
-	rawJSON = reflect.TypeFor[json.RawMessage]()
+	rawMessageType = reflect.TypeFor[json.RawMessage]()
 )
 
 func (f *filler) fill(value reflect.Value, depth int) {
-	if !value.CanSet() || depth > deepest {
+	if !value.CanSet() || depth > maxDepth {
 		return
 	}
 	f.count++
-	if value.Type() == rawJSON {
+	if value.Type() == rawMessageType {
 		value.SetBytes([]byte(fmt.Sprint(f.count)))
 		return
 	}
@@ -135,9 +135,9 @@
 	case reflect.Bool:
 		value.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		value.SetInt(int64(f.count%smallMost) + 1)
+		value.SetInt(int64(f.count%maxInteger) + 1)
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		value.SetUint(uint64(f.count%smallMost) + 1)
+		value.SetUint(uint64(f.count%maxInteger) + 1)
 	case reflect.Float32, reflect.Float64:
 		value.SetFloat(float64(f.count) + 0.5)
 	case reflect.String:
