--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -1,7 +1,8 @@
-// Package soak plays faults against real processes, from outside them, and checks promises by what callers and back ends see.
+// Package soak injects faults into real processes from the outside and checks guarantees by what callers and back ends
+// observe.
 //
-// A Proxy carries every connection between the processes under test and can delay, silence, cut one way or reset those of any
-// pair. Processes are started, paused, killed and started again by their ids. A Plan says what goes wrong when; it is drawn
-// from a seed, written to a file and read from one. Promises watch what was asked, run and answered. What the processes speak is
-// the caller's matter.
+// A Proxy carries all connections between the processes under test; for each pair it can delay, block one direction of,
+// or reset them. Processes are started, paused, killed and restarted by PID. A Plan is a schedule of faults, generated
+// from a seed or read from a file. A Watcher records requests, executions and responses and reports violations. The
+// package is independent of the protocol that the processes speak.
 package soak
