--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	// limitGracePeriod is how long after it was first named it must hold, and namedFree how long after a process was seen to have heard of it what callers
-	// send there doesn't count.
+	// limitGracePeriod is the time after a back end first advertises a limit during which exceeding it is not a
+	// violation. limitPropagationDelay is the time after a process learns of a limit during which its requests are not
+	// counted.
 	limitGracePeriod      = 3 * time.Second
 	limitPropagationDelay = 500 * time.Millisecond
 )
 
-// advertisedLimit is a time in which one life of a back end names a limit.
+// advertisedLimit is a period in which one incarnation of a back end advertises a rate limit.
 type advertisedLimit struct {
 	from, until time.Duration
-	rate        float64                  // requests a second
-	observedAt  map[Sender]time.Duration // when each process was seen to have heard of it
-	arrivals    []time.Duration          // that count, of the newest window; rising
+	rate        float64                  // requests per second
+	observedAt  map[Sender]time.Duration // when each process was known to have received it
+	arrivals    []time.Duration          // counted requests within the latest window, ascending
 }
 
-// RecordAdvertisedLimit notes that a life of a back end names a limit in its answer to a request, and until when it will.
+// RecordAdvertisedLimit records that an incarnation of a back end advertised a limit in its response to request id,
+// valid until a given time.
 func (w *Watcher) RecordAdvertisedLimit(at time.Duration, id, incarnation string, rate float64, until time.Duration) {
 	w.mu.Lock()
 	n := w.signals.limits[incarnation]
@@ -37,7 +39,8 @@
 	}
 }
 
-// checkAdvertisedLimit counts a request that came to a life of a back end. The caller holds mu.
+// checkAdvertisedLimit counts a request that reached an incarnation of a back end and reports a violation if the
+// advertised limit is exceeded. The caller holds mu.
 func (w *Watcher) checkAdvertisedLimit(at time.Duration, request sentRequest, incarnation string) {
 	n := w.signals.limits[incarnation]
 	if n == nil || at >= n.until {
@@ -49,16 +52,17 @@
 	n.arrivals = window.Add(n.arrivals, at)
 	allowed := window.Allowed(n.rate)
 	if at >= n.from+limitGracePeriod && float64(len(n.arrivals)) > allowed && !w.mayBeBurst(at) {
-		w.addViolation(AdvertisedLimitRespected, "%s takes %.1f a second and got %d requests in %v from processes that had heard it, %.0f allowed", incarnation, n.rate, len(n.arrivals), window.Length, allowed)
+		w.addViolation(AdvertisedLimitRespected, "%s advertised %.1f requests per second but received %d within %v from processes that knew the limit; %.0f allowed", incarnation, n.rate, len(n.arrivals), window.Length, allowed)
 	}
 }
 
-// mayBeBurst reports whether links or gateways were struck in a window, so that what was sent over a longer time may have come in it.
+// mayBeBurst reports whether a fault overlapped the window that ends at a given time, so that requests sent over a
+// longer time may have arrived within it.
 func (w *Watcher) mayBeBurst(at time.Duration) bool {
 	return slices.ContainsFunc(w.burstWindows, func(s interval) bool { return at >= s.from && at-window.Length <= s.to })
 }
 
-// RecordBurstWindow notes that requests may be held up between processes for a time and come together at its end.
+// RecordBurstWindow records a period in which requests may be delayed between processes and then arrive together.
 func (w *Watcher) RecordBurstWindow(from, to time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
