--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Owner returns the name of the process among the given ones that holds the far end of a loopback connection whose near end is ours, or
-// "". The kernel tells: nothing in the processes has to know of the proxy.
+// Owner returns the name of the process that owns the remote end of a loopback connection accepted by this process, or
+// "" if none of the given processes does. It asks the kernel, so the processes need no knowledge of the proxy.
 func Owner(processes []*Process, conn net.Conn) string {
 	remote, local := endpointOf(conn.RemoteAddr()), endpointOf(conn.LocalAddr())
 	if remote == nil || local == nil {
@@ -30,7 +30,7 @@
 	return ""
 }
 
-// endpoint is one endpoint of a connection as the kernel writes it: the port, then the address, both with the highest byte first.
+// endpoint is an IPv4 address and port of a socket in network byte order, as used by the kernel.
 type endpoint struct {
 	port    [2]byte
 	address [4]byte
@@ -50,7 +50,7 @@
 	return result
 }
 
-// Layout of a question for one socket and of its answer: linux/inet_diag.h and linux/netlink.h.
+// Layout of a sock_diag request for one socket and of its reply: linux/inet_diag.h and linux/netlink.h.
 const (
 	requestBytes         = unix.NLMSG_HDRLEN + 56
 	requestFamily        = unix.NLMSG_HDRLEN
@@ -65,11 +65,11 @@
 	replyInode           = unix.NLMSG_HDRLEN + 68
 	established          = 1
 	noCookie             = 0xffffffffffffffff
-	replyTimeoutSeconds  = 2 // the kernel answers within the call; the bound keeps a lost answer from holding a connection for good
+	replyTimeoutSeconds  = 2 // keeps a lost reply from blocking the caller forever
 )
 
-// socketInode returns the kernel's number of the established socket with these ends, or 0. It asks for just this one: a list of the machine's
-// sockets takes the longer the more others hold, and is asked for with each connection.
+// socketInode returns the inode of the established socket with these endpoints, or 0. It queries this socket only:
+// listing all sockets for each connection would cost time proportional to the sockets on the machine.
 func socketInode(local, remote *endpoint) uint32 {
 	socket, err := unix.Socket(unix.AF_NETLINK, unix.SOCK_DGRAM|unix.SOCK_CLOEXEC, unix.NETLINK_INET_DIAG)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return binary.NativeEndian.Uint32(reply[replyInode:])
 }
 
-// socketRequest asks for the socket with these ends.
+// socketRequest encodes a sock_diag request for the socket with these endpoints.
 func socketRequest(local, remote *endpoint) []byte {
 	request := make([]byte, requestBytes)
 	binary.NativeEndian.PutUint32(request, requestBytes)
@@ -105,12 +105,12 @@
 	return request
 }
 
-// hasSocketOpen reports whether a process has a socket open.
+// hasSocketOpen reports whether a process has a socket open, given as in its /proc/PID/fd links ("socket:[inode]").
 func hasSocketOpen(pid int, socket string) bool {
 	dir := filepath.Join("/proc", strconv.Itoa(pid), "fd")
 	entries, err := os.ReadDir(dir)
 	if err != nil {
-		return false // it has ended
+		return false // the process has exited
 	}
 	for _, entry := range entries {
 		if target, err := os.Readlink(filepath.Join(dir, entry.Name())); err == nil && target == socket {
