--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -13,33 +13,33 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds of faults.
+// Kinds of faults.
 const (
 	KillGateway      Kind = "kill-gateway"
 	PauseGateway     Kind = "pause-gateway"
-	StopGateway      Kind = "stop-gateway" // a planned stop
+	StopGateway      Kind = "stop-gateway" // graceful shutdown
 	KillControl      Kind = "kill-control"
 	PauseLeader      Kind = "pause-leader"
-	KillAll          Kind = "kill-all"   // gateways and control
-	CutLeader        Kind = "cut-leader" // from everybody
-	CutOneWay        Kind = "cut-one-way"
-	CutGateway       Kind = "cut-gateway" // from control
+	KillAll          Kind = "kill-all"    // all gateways and control processes
+	CutLeader        Kind = "cut-leader"  // both directions, from all processes
+	CutOneWay        Kind = "cut-one-way" // from the leader to all other processes
+	CutGateway       Kind = "cut-gateway" // from all control processes
 	DelayLinks       Kind = "delay-links"
 	ResetLinks       Kind = "reset-links"
-	ResetControl     Kind = "reset-control" // connections between control processes, in series
+	ResetControl     Kind = "reset-control" // repeatedly, between control processes
 	KillWorker       Kind = "kill-worker"
 	HotTenant        Kind = "hot-tenant"
 	LowerLimit       Kind = "lower-limit"
-	ChangeSetting    Kind = "change-setting" // a document that changes nothing that matters
-	Reload           Kind = "reload"         // processes are told to read their settings again, also in a planned stop
-	FatalRequest     Kind = "deadly-request" // one that ends each worker that begins to run it comes again and again
-	RejectRequests   Kind = "shed-workers"   // workers turn every request away and ask for rest
-	DrainWorker      Kind = "leave-worker"   // a worker says in its answers that it leaves, while its heartbeats say that it is ready
-	AdvertiseLimits  Kind = "need-workers"   // workers name a limit of requests in their answers
-	ForgedHeartbeats Kind = "forged-beats"   // another writer sends heartbeats that can't be read in full
+	ChangeSetting    Kind = "change-setting" // a change of the settings document without effect
+	Reload           Kind = "reload"         // SIGHUP to all processes, possibly during a graceful shutdown
+	FatalRequest     Kind = "deadly-request" // a repeated request that crashes each worker that runs it
+	RejectRequests   Kind = "shed-workers"   // workers reject all requests and ask callers to back off
+	DrainWorker      Kind = "leave-worker"   // a worker announces its shutdown in responses while its heartbeats report it as ready
+	AdvertiseLimits  Kind = "need-workers"   // workers advertise a request rate limit in their responses
+	ForgedHeartbeats Kind = "forged-beats"   // an unknown sender sends heartbeats that can be decoded only in part
 )
 
-// Kinds lists every kind in a fixed order.
+// Kinds lists all kinds in a fixed order, which the choice from a seed depends on.
 func Kinds() []Kind {
 	return []Kind{
 		KillGateway, PauseGateway, StopGateway, KillControl, PauseLeader, KillAll, CutLeader, CutOneWay, CutGateway, DelayLinks, ResetLinks, ResetControl,
@@ -48,7 +48,7 @@
 	}
 }
 
-// Disturbs reports whether a fault strikes the system's own processes or their links.
+// Disturbs reports whether a fault affects the system's own processes or the links between them.
 func (k Kind) Disturbs() bool {
 	switch k {
 	case KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, FatalRequest, ForgedHeartbeats, RejectRequests, DrainWorker, AdvertiseLimits:
@@ -57,7 +57,8 @@
 	return true
 }
 
-// CausesBursts reports whether a fault may hold requests up between processes, or in one, so that they come together at its end.
+// CausesBursts reports whether a fault may delay requests between or within processes, so that they arrive together
+// afterwards.
 func (k Kind) CausesBursts() bool {
 	switch k {
 	case PauseGateway, CutOneWay, DelayLinks, ResetLinks:
@@ -66,43 +67,46 @@
 	return false
 }
 
-// hotTenantFraction is how often a drawn fault is a hot tenant, whatever else there is: without one no limit is ever reached.
+// hotTenantFraction is the fraction of faults that are forced to be HotTenant, so that tenant limits are reached in
+// every run.
 const hotTenantFraction = 0.2
 
-// Fault is one thing that goes wrong, or that an operator does.
+// Fault is a fault or an operator action, scheduled within a run.
 type Fault struct {
 	AtMS   int64 `json:"at_ms"` // from the start of traffic
 	ForMS  int64 `json:"for_ms"`
 	Kind   Kind  `json:"kind"`
-	Target int   `json:"target"` // number of the process, worker or tenant, modulo how many there are
+	Target int   `json:"target"` // index of the process, worker or tenant, modulo their number
 }
 
-// At is when the fault begins.
+// At returns when the fault begins, from the start of traffic.
 func (f Fault) At() time.Duration { return time.Duration(f.AtMS) * time.Millisecond }
 
-// End is when it is healed.
+// End returns when the fault is healed, from the start of traffic.
 func (f Fault) End() time.Duration { return f.At() + time.Duration(f.ForMS)*time.Millisecond }
 
-// Plan is what goes wrong in a run, in the order of time.
+// Plan is the schedule of faults of a run, ordered by start time.
 type Plan struct {
 	Seed     uint64  `json:"seed"`
 	LengthMS int64   `json:"length_ms"` // of traffic
 	Faults   []Fault `json:"faults"`
 }
 
-// Length is how long there is traffic.
+// Length returns how long traffic is sent.
 func (p Plan) Length() time.Duration { return time.Duration(p.LengthMS) * time.Millisecond }
 
 const (
-	// warmUp and calmEnd are without new faults: until everything runs, and until service must be back.
+	// warmUp and recoveryPeriod, at the start and end of a run, have no new faults: they let the system start up and
+	// recover.
 	warmUp         = 4 * time.Second
 	recoveryPeriod = 16 * time.Second
-	// maxGap is the longest time between two faults; one in three comes while the one before it lasts.
+	// maxGap is the upper bound of the time between the starts of consecutive faults. It is below maxFaultDuration, so
+	// faults may overlap.
 	maxGap           = 3 * time.Second
 	maxFaultDuration = 5 * time.Second
 )
 
-// Generate draws a plan of a length from a seed.
+// Generate returns a random plan of the given length. The same seed yields the same plan.
 func Generate(seed uint64, length time.Duration) Plan {
 	random := rand.New(rand.NewPCG(seed, seed))
 	plan := Plan{Seed: seed, LengthMS: length.Milliseconds()}
@@ -119,33 +123,33 @@
 	return plan
 }
 
-// Read reads a plan and checks it.
+// Read reads a plan from a file and validates it.
 func Read(path string) (Plan, error) {
 	var plan Plan
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return plan, eris.Wrap(err, "read the plan")
+		return plan, eris.Wrap(err, "read plan")
 	}
 	if err := json.Unmarshal(text, &plan); err != nil {
-		return plan, eris.Wrapf(err, "%s is not a plan", path)
+		return plan, eris.Wrapf(err, "decode plan %s", path)
 	}
 	for i, fault := range plan.Faults {
 		if !slices.Contains(Kinds(), fault.Kind) || fault.AtMS < 0 || fault.ForMS < 0 || fault.Target < 0 {
-			return plan, eris.Errorf("%s: fault %d (%s) is not known or has a value below 0", path, i, fault.Kind)
+			return plan, eris.Errorf("%s: fault %d (%s) has an unknown kind or a negative value", path, i, fault.Kind)
 		}
 	}
 	if plan.LengthMS <= 0 {
-		return plan, eris.Errorf("%s: length_ms must be above 0", path)
+		return plan, eris.Errorf("%s: length_ms must be positive", path)
 	}
 	slices.SortStableFunc(plan.Faults, func(a, b Fault) int { return int(a.AtMS - b.AtMS) })
 	return plan, nil
 }
 
-// Write writes a plan to a file.
+// Write writes the plan to a file as JSON.
 func (p Plan) Write(path string) error {
 	text, err := json.MarshalIndent(p, "", "  ")
 	if err != nil {
-		return eris.Wrap(err, "encode the plan")
+		return eris.Wrap(err, "encode plan")
 	}
-	return eris.Wrap(os.WriteFile(path, append(text, '\n'), 0o600), "write the plan")
+	return eris.Wrap(os.WriteFile(path, append(text, '\n'), 0o600), "write plan")
 }
