--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -10,27 +10,27 @@
 	"github.com/rotisserie/eris"
 )
 
-// stopTimeout is how long a process may take to end once it was told to.
+// stopTimeout is how long a process may take to exit after Stop signals it; it is killed afterwards.
 const stopTimeout = 12 * time.Second
 
-// Process is one program under test. It is started again after it was killed.
+// Process is a program under test that can be started and stopped repeatedly.
 type Process struct {
 	Name string
-	Env  []string // beside the soak's own
-	Args []string // the program comes first
-	Log  string   // file that it writes to
-	// AlternateBuild is another build of the program, or "". Each start takes the one that the last start didn't take.
+	Env  []string // in addition to the environment of this process
+	Args []string // program and its arguments
+	Log  string   // file that standard output and standard error are appended to
+	// AlternateBuild is another build of the program, or "". If set, starts alternate between Args[0] and it.
 	AlternateBuild string
 
 	mu              sync.Mutex
-	starts          int           // so far; guarded by mu
-	command         *exec.Cmd     // nil while it does not run; guarded by mu
-	ended           chan struct{} // closed once command has ended; guarded by mu
-	shouldRun       bool          // it was not told to end; guarded by mu
-	unexpectedExits int           // ends that nobody asked for; guarded by mu
+	starts          int           // number of starts; guarded by mu
+	command         *exec.Cmd     // nil while the process is not running; guarded by mu
+	ended           chan struct{} // closed when command has exited; guarded by mu
+	shouldRun       bool          // Stop was not called since the last start; guarded by mu
+	unexpectedExits int           // exits while shouldRun was set; guarded by mu
 }
 
-// Start starts the process, unless it runs.
+// Start starts the process unless it is running.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 	log, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return eris.Wrap(err, "open the log of a process")
+		return eris.Wrap(err, "open process log")
 	}
 	command := exec.Command(p.nextBuild(), p.Args[1:]...)
 	p.starts++
@@ -51,7 +51,7 @@
 	ended := make(chan struct{})
 	p.command, p.ended, p.shouldRun = command, ended, true
 	go func() {
-		_ = command.Wait() // how it ended is told by whether it was wanted
+		_ = command.Wait() // exit status is ignored: any exit while shouldRun is set counts as unexpected
 		_ = log.Close()
 		p.mu.Lock()
 		if p.shouldRun {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// nextBuild returns the program that the next start takes. The caller holds mu.
+// nextBuild returns the program for the next start. The caller holds mu.
 func (p *Process) nextBuild() string {
 	if p.AlternateBuild != "" && p.starts%2 == 1 {
 		return p.AlternateBuild
@@ -72,16 +72,17 @@
 	return p.Args[0]
 }
 
-// Signal sends a signal to the process, if it runs.
+// Signal sends a signal to the process if it is running.
 func (p *Process) Signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command != nil {
-		_ = p.command.Process.Signal(signal) // it may have ended this moment
+		_ = p.command.Process.Signal(signal) // the process may have exited already
 	}
 }
 
-// Stop ends the process by a signal and reports whether it ended in time; else it is killed.
+// Stop resumes the process, sends it a signal and waits for it to exit. It kills the process after stopTimeout and
+// returns false.
 func (p *Process) Stop(signal syscall.Signal) bool {
 	p.mu.Lock()
 	command, ended := p.command, p.ended
@@ -102,7 +103,7 @@
 	return false
 }
 
-// PID returns the process's number, or 0.
+// PID returns the process ID, or 0 if the process is not running.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,7 +113,7 @@
 	return p.command.Process.Pid
 }
 
-// UnexpectedExits returns how often it ended without being told to.
+// UnexpectedExits returns how often the process exited without a call of Stop.
 func (p *Process) UnexpectedExits() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
