--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -7,79 +7,80 @@
 	"time"
 )
 
-// Guarantee names one thing that must hold.
+// Guarantee names a property that must hold in every run.
 type Guarantee string
 
-// The promises that are checked.
+// Guarantees that are checked.
 const (
-	WithinLimit              Guarantee = "limit"      // what runs of a tenant's requests stays within its limit, over all machines
-	AtMostOnce               Guarantee = "once"       // a request that may not be repeated runs at most once
-	NotRunHonored            Guarantee = "not-run"    // a request that was said not to have run does not run
-	CorrectResponse          Guarantee = "answer"     // a success is the whole answer to the caller's own request
-	ServiceRecovers          Guarantee = "back"       // after the last fault healed, requests are served again
-	NoUnexpectedExit         Guarantee = "own-end"    // no process ends by itself, and each ends when it is told to
-	QuarantineEnforced       Guarantee = "held-back"  // a request that ends its workers gets few more after the third; no other one is refused for it
-	BackoffRespected         Guarantee = "rest"       // a back end that asked a gateway for rest gets two requests more from it in that time at the most
-	DrainRespected           Guarantee = "leaving"    // a back end that said in an answer that it leaves gets nothing new from whoever heard it
-	AdvertisedLimitRespected Guarantee = "named"      // a back end that names a limit gets no more than it allows from all processes together that have heard it
-	ConfigDurable            Guarantee = "config"     // a configuration that was acknowledged is never lost, and none older is shown after it
-	ForgedHeartbeatsIgnored  Guarantee = "not-forged" // no request reaches a worker that only forged heartbeats name, and none of these is acknowledged
+	WithinLimit              Guarantee = "limit"      // the running requests of a tenant stay within its limit, summed over all machines
+	AtMostOnce               Guarantee = "once"       // a request that must not be retried runs at most once
+	NotRunHonored            Guarantee = "not-run"    // a request reported as not executed is never executed
+	CorrectResponse          Guarantee = "answer"     // a successful response is the complete response to the caller's own request
+	ServiceRecovers          Guarantee = "back"       // requests are served again after the last fault has healed
+	NoUnexpectedExit         Guarantee = "own-end"    // processes exit only when told to, and in time
+	QuarantineEnforced       Guarantee = "held-back"  // a request that crashes workers reaches few more after the third; no other request is rejected as quarantined
+	BackoffRespected         Guarantee = "rest"       // a back end that asked a gateway for backoff gets at most two more requests from it during that time
+	DrainRespected           Guarantee = "leaving"    // a back end that announced draining in a response gets no new requests from processes that received it
+	AdvertisedLimitRespected Guarantee = "named"      // a back end that advertises a rate limit gets no more than that from all processes that received it together
+	ConfigDurable            Guarantee = "config"     // an acknowledged configuration is never lost, and no older one is served after it
+	ForgedHeartbeatsIgnored  Guarantee = "not-forged" // no request reaches a worker known only from forged heartbeats, and no forged heartbeat is acknowledged
 )
 
-// Guarantees lists every promise in a fixed order.
+// Guarantees lists all guarantees in a fixed order.
 func Guarantees() []Guarantee {
 	return []Guarantee{WithinLimit, AtMostOnce, NotRunHonored, CorrectResponse, ServiceRecovers, NoUnexpectedExit, QuarantineEnforced, BackoffRespected, DrainRespected, AdvertisedLimitRespected, ConfigDurable, ForgedHeartbeatsIgnored}
 }
 
-// Violation is a promise that did not hold, with the observation.
+// Violation is an observation that contradicts a guarantee.
 type Violation struct {
 	Guarantee Guarantee
 	Detail    string
 }
 
-// TenantLimit is what a tenant may use, from a time on.
+// TenantLimit is a tenant's limit, valid from a point in time: the units that it may use in a window of a given length.
 type TenantLimit struct {
 	From  time.Duration
 	Units func(window time.Duration) float64
 }
 
-// execution is a request that a back end began.
+// execution is one run of a request on a back end.
 type execution struct {
 	at    time.Duration
 	units float64
 }
 
-// requestState is what is known of one request of a caller.
+// requestState is what is known of a caller's request.
 type requestState struct {
-	atMostOnce bool // it may run at most once
+	atMostOnce bool // it must run at most once
 	runs       int
-	notRun     bool // its caller was told that it did not run
+	notRun     bool // the caller was told that it did not run
 }
 
-// Watcher gathers what callers and back ends see. It is safe for concurrent use. Times are of one clock, that of the soak.
+// Watcher records what callers and back ends observe and checks the guarantees. It is safe for concurrent use. All
+// times are durations since the start of the run.
 type Watcher struct {
-	Window          time.Duration // that limits are judged in
-	LimitSettleTime time.Duration // how long after a lower limit was accepted an older one may still count
+	Window          time.Duration // length of the windows in which tenant limits are checked
+	LimitSettleTime time.Duration // how long after a new limit was accepted the previous one may still apply
 
 	mu                sync.Mutex
-	requests          map[string]*requestState   // by id; guarded by mu
-	runs              map[string][]execution     // by tenant, rising by time; guarded by mu
-	limits            map[string][]TenantLimit   // by tenant, rising by time; guarded by mu
+	requests          map[string]*requestState   // by request ID; guarded by mu
+	runs              map[string][]execution     // by tenant; guarded by mu
+	limits            map[string][]TenantLimit   // by tenant, ascending; guarded by mu
 	violations        []Violation                // guarded by mu
-	outcomes          map[string]int             // by what callers got; guarded by mu
-	served            []bool                     // of the requests that began after the calm; guarded by mu
-	expectRecovery    bool                       // the plan leaves time for service to be back; guarded by mu
-	fatalArrivals     map[string][]time.Duration // when a request that ends its workers came to one, by its name, rising; guarded by mu
-	quarantineReplies map[string]int             // how often its callers were told that it is held back, by its name; guarded by mu
-	disturbances      []interval                 // of the system's processes and links; guarded by mu
-	burstWindows      []interval                 // in which requests may be held up; guarded by mu
-	signals           signalLog                  // of themselves, by back ends; guarded by mu
+	outcomes          map[string]int             // number of responses by outcome; guarded by mu
+	served            []bool                     // whether each request sent after the recovery period was served; guarded by mu
+	expectRecovery    bool                       // the plan leaves time to recover; guarded by mu
+	fatalArrivals     map[string][]time.Duration // arrivals of each fatal request at workers, by its name; guarded by mu
+	quarantineReplies map[string]int             // number of responses that reported a fatal request as quarantined, by its name; guarded by mu
+	disturbances      []interval                 // periods of faults in the system's processes and links; guarded by mu
+	burstWindows      []interval                 // periods in which requests may be delayed; guarded by mu
+	signals           signalLog                  // guarded by mu
 }
 
-// interval is a stretch of time.
+// interval is a closed time interval.
 type interval struct{ from, to time.Duration }
 
-// NewWatcher returns a watch that has seen nothing.
+// NewWatcher returns a Watcher without observations.
 func NewWatcher(window, settle time.Duration) *Watcher {
 	return &Watcher{
 		Window: window, LimitSettleTime: settle, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
@@ -87,47 +88,47 @@
 	}
 }
 
-// RecordLimit notes that a tenant's limit was accepted at a time.
+// RecordLimit records that a tenant's new limit was accepted.
 func (w *Watcher) RecordLimit(tenant string, limit TenantLimit) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limits[tenant] = append(w.limits[tenant], limit)
 }
 
-// ExpectRecovery tells whether the plan leaves time for service to be back.
+// ExpectRecovery sets whether the plan leaves time for service to recover, which Close then checks.
 func (w *Watcher) ExpectRecovery(expected bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expectRecovery = expected
 }
 
-// RecordRequest notes that a caller is about to send a request.
+// RecordRequest records that a caller is about to send a request.
 func (w *Watcher) RecordRequest(id string, atMostOnce bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.requests[id] = &requestState{atMostOnce: atMostOnce}
 }
 
-// RecordExecution notes that a back end began a request.
+// RecordExecution records that a back end started a request.
 func (w *Watcher) RecordExecution(at time.Duration, id, tenant string, units float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.runs[tenant] = append(w.runs[tenant], execution{at: at, units: units})
 	request := w.requests[id]
 	if request == nil {
-		w.addViolation(CorrectResponse, "a back end ran %q, which no caller sent", id)
+		w.addViolation(CorrectResponse, "a back end executed %q, which no caller sent", id)
 		return
 	}
 	request.runs++
 	if request.atMostOnce && request.runs > 1 {
-		w.addViolation(AtMostOnce, "%s ran %d times", id, request.runs)
+		w.addViolation(AtMostOnce, "%s was executed %d times", id, request.runs)
 	}
 	if request.notRun && request.atMostOnce {
-		w.addViolation(NotRunHonored, "%s ran after its caller was told that it did not", id)
+		w.addViolation(NotRunHonored, "%s was executed after its caller was told that it did not run", id)
 	}
 }
 
-// RecordNotRun notes that a caller was told that its request did not run and will not.
+// RecordNotRun records that a caller was told that its request did not run.
 func (w *Watcher) RecordNotRun(id, outcome string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -135,24 +136,25 @@
 	request := w.requests[id]
 	request.notRun = true
 	if request.atMostOnce && request.runs > 0 {
-		w.addViolation(NotRunHonored, "%s had run when its caller was told that it did not", id)
+		w.addViolation(NotRunHonored, "%s had been executed when its caller was told that it did not run", id)
 	}
 }
 
-// RecordSuccess notes a success and whether it was the whole answer to the request; calm tells that service had to be back.
+// RecordSuccess records a successful response and whether it was the complete response to the request. afterRecovery is
+// true if the request was sent when service had to be available again.
 func (w *Watcher) RecordSuccess(id string, complete, afterRecovery bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outcomes["answered"]++
 	if !complete {
-		w.addViolation(CorrectResponse, "%s got an answer that is not its own whole one", id)
+		w.addViolation(CorrectResponse, "%s received a response that is incomplete or belongs to another request", id)
 	}
 	if afterRecovery {
 		w.served = append(w.served, true)
 	}
 }
 
-// RecordFailure notes any other end.
+// RecordFailure records any other outcome.
 func (w *Watcher) RecordFailure(outcome string, afterRecovery bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -162,14 +164,14 @@
 	}
 }
 
-// RecordViolation notes that a promise was seen broken.
+// RecordViolation records a violation that was detected elsewhere.
 func (w *Watcher) RecordViolation(promise Guarantee, format string, values ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.addViolation(promise, format, values...)
 }
 
-// maxViolations bounds the observations that are kept.
+// maxViolations bounds the recorded violations.
 const maxViolations = 200
 
 func (w *Watcher) addViolation(promise Guarantee, format string, values ...any) {
@@ -178,10 +180,10 @@
 	}
 }
 
-// minServedFraction is the share of the requests that must be served once everything has healed.
+// minServedFraction is the fraction of requests that must be served after all faults have healed.
 const minServedFraction = 0.8
 
-// Close makes the checks that need the whole run, and returns all that was broken.
+// Close runs the checks that need the complete run and returns all violations.
 func (w *Watcher) Close() []Violation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -198,56 +200,57 @@
 		w.checkQuarantine(name, arrivals)
 	}
 	if w.expectRecovery && (len(w.served) == 0 || float64(servedCount) < minServedFraction*float64(len(w.served))) {
-		w.addViolation(ServiceRecovers, "%d of %d requests were served after everything had healed", servedCount, len(w.served))
+		w.addViolation(ServiceRecovers, "%d of %d requests were served after all faults had healed", servedCount, len(w.served))
 	}
 	return slices.Clone(w.violations)
 }
 
 const (
-	// quarantineThreshold is how many workers a request may end before it is held back, deadlyMore how many more may get it, and deadlyContact how
-	// long the news may take, and how long the system's processes and links must have been well for what they send to count.
+	// quarantineThreshold is how many workers a request may crash before it is quarantined, maxExtraArrivals how many
+	// more may receive it. quarantinePropagationDelay is how long the quarantine may take to reach all gateways, and
+	// how long after a disturbance arrivals are not counted.
 	quarantineThreshold        = 3
 	maxExtraArrivals           = 3
 	quarantinePropagationDelay = 4 * time.Second
 )
 
-// RecordDisturbance notes that the system's processes or links are struck for a time.
+// RecordDisturbance records a period in which a fault affects the system's processes or links.
 func (w *Watcher) RecordDisturbance(from, to time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.disturbances = append(w.disturbances, interval{from, to})
 }
 
-// RecordFatalArrival notes that a request came to a worker that ends under it.
+// RecordFatalArrival records that a fatal request reached a worker, which crashes from it.
 func (w *Watcher) RecordFatalArrival(at time.Duration, name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fatalArrivals[name] = append(w.fatalArrivals[name], at)
 }
 
-// RecordQuarantined notes that a caller of such a request was told that it is held back.
+// RecordQuarantined records that a caller of a fatal request was told that it is quarantined.
 func (w *Watcher) RecordQuarantined(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.quarantineReplies[name]++
 }
 
-// QuarantineDecided reports whether what was seen of such a request tells if it is held back: its callers were told so as often as more workers would
-// break the promise, or it did come to these.
+// QuarantineDecided reports whether there are enough observations to tell if a fatal request is quarantined: more than
+// maxExtraArrivals callers were told so, or more than maxExtraArrivals workers received it after the threshold.
 func (w *Watcher) QuarantineDecided(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.quarantineReplies[name] > maxExtraArrivals || w.excessArrivals(w.fatalArrivals[name]) > maxExtraArrivals
 }
 
-// checkQuarantine counts what reached workers after the third had ended, while all was well.
+// checkQuarantine reports a violation if too many workers received a fatal request after it had to be quarantined.
 func (w *Watcher) checkQuarantine(name string, arrivals []time.Duration) {
 	if excess := w.excessArrivals(arrivals); excess > maxExtraArrivals {
-		w.addViolation(QuarantineEnforced, "%q came to %d workers after it had ended three, %d in all", name, excess, len(arrivals))
+		w.addViolation(QuarantineEnforced, "%q reached %d workers after it had crashed three, %d in total", name, excess, len(arrivals))
 	}
 }
 
-// excessArrivals counts those that must not have come. The caller holds the mutex.
+// excessArrivals counts the arrivals after the quarantine had to be known, outside disturbances. The caller holds mu.
 func (w *Watcher) excessArrivals(arrivals []time.Duration) int {
 	slices.Sort(arrivals)
 	excess := 0
@@ -259,12 +262,12 @@
 	return excess
 }
 
-// disturbed reports whether something was struck a moment before.
+// disturbed reports whether a disturbance is active or ended less than quarantinePropagationDelay ago.
 func (w *Watcher) disturbed(at time.Duration) bool {
 	return slices.ContainsFunc(w.disturbances, func(s interval) bool { return at >= s.from && at <= s.to+quarantinePropagationDelay })
 }
 
-// checkLimit looks at every window that ends with a run.
+// checkLimit checks the tenant's usage in each window that ends with the start of an execution.
 func (w *Watcher) checkLimit(tenant string, runs []execution) {
 	slices.SortFunc(runs, func(a, b execution) int { return int(a.at - b.at) })
 	sum, first := 0.0, 0
@@ -280,21 +283,21 @@
 	}
 }
 
-// allowed returns the most that any limit allows that may still count in a window from a time on; a later lower limit binds
-// whole windows only.
+// allowed returns the highest limit that may apply in a window from a given time on. A lower limit applies only to
+// windows that begin after it was accepted.
 func (w *Watcher) allowed(tenant string, from time.Duration) (float64, bool) {
 	highest, found := 0.0, false
 	limits := w.limits[tenant]
 	for i, limit := range limits {
 		if i+1 < len(limits) && limits[i+1].From+w.LimitSettleTime < from {
-			continue // replaced before the window
+			continue // replaced before the window began
 		}
 		highest, found = max(highest, limit.Units(w.Window)), true
 	}
 	return highest, found
 }
 
-// Outcomes returns what callers got, by kind.
+// Outcomes returns the number of responses by outcome.
 func (w *Watcher) Outcomes() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
