--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// copyBufferSize is how much is passed on at once.
+	// copyBufferSize is the size of the buffer of each direction of a connection.
 	copyBufferSize = 32 << 10
-	// dialTimeout is how long the far side may take to accept.
+	// dialTimeout bounds the time to connect to a target.
 	dialTimeout = 2 * time.Second
-	// blockedPollInterval is how often a held connection looks whether it may go on.
+	// blockedPollInterval is how often a blocked connection checks whether its link has been unblocked.
 	blockedPollInterval = 10 * time.Millisecond
 )
 
-// Link names the direction from one process to another.
+// Link is the direction from one process to another, by name.
 type Link struct{ From, To string }
 
-// Proxy carries connections between processes. It is safe for concurrent use.
+// Proxy forwards TCP connections between processes and injects network faults. It is safe for concurrent use.
 type Proxy struct {
-	owner func(net.Conn) string // process that opened a connection that came to us, or ""
+	owner func(net.Conn) string // returns the name of the process that opened an accepted connection, or ""
 
 	mu         sync.Mutex
-	blocked    map[Link]int              // faults that hold what travels; guarded by mu
+	blocked    map[Link]int              // number of active Block calls; guarded by mu
 	delays     map[Link]time.Duration    // guarded by mu
 	open       map[*proxiedConn]struct{} // guarded by mu
 	listeners  []net.Listener            // guarded by mu
@@ -34,20 +34,20 @@
 	done       chan struct{}
 }
 
-// proxiedConn is one connection that is carried.
+// proxiedConn is a forwarded connection: near was accepted from the opener, far is the connection to the target.
 type proxiedConn struct {
 	from, to  string
 	near, far net.Conn
 }
 
-// NewProxy returns a proxy; owner names the process that opened a connection.
+// NewProxy returns a proxy; owner returns the name of the process that opened an accepted connection, or "".
 func NewProxy(owner func(net.Conn) string) *Proxy {
 	return &Proxy{
 		owner: owner, blocked: map[Link]int{}, delays: map[Link]time.Duration{}, open: map[*proxiedConn]struct{}{}, done: make(chan struct{}),
 	}
 }
 
-// Forward listens at an address and passes connections on to a process's own one.
+// Forward listens on an address and forwards accepted connections to the target address, which belongs to process to.
 func (p *Proxy) Forward(address, to, target string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -60,7 +60,7 @@
 		for {
 			near, err := listener.Accept()
 			if err != nil {
-				return // closed
+				return // the listener was closed
 			}
 			p.goroutines.Go(func() { p.handle(near, to, target) })
 		}
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// handle passes one connection on, in both directions, until one side ends.
+// handle forwards one accepted connection in both directions until both have ended.
 func (p *Proxy) handle(near net.Conn, to, target string) {
 	defer near.Close()
 	from := p.owner(near)
@@ -93,7 +93,8 @@
 	p.mu.Unlock()
 }
 
-// copyDirection copies one direction, and ends it at the other side as it ended here.
+// copyDirection copies data from one connection to the other and propagates how it ends: EOF as a half-close, errors as
+// a reset.
 func (p *Proxy) copyDirection(from, to net.Conn, link Link) {
 	buffer := make([]byte, copyBufferSize)
 	for {
@@ -116,7 +117,7 @@
 	}
 }
 
-// abort ends a connection with a reset.
+// abort closes a connection with a TCP reset.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -124,7 +125,8 @@
 	_ = c.Close()
 }
 
-// waitForLink waits for a link's delay, and as long as the link is silent; it is false once the proxy ends.
+// waitForLink waits for the link's delay and while the link is blocked. It returns false if the proxy is closed while
+// it is blocked.
 func (p *Proxy) waitForLink(link Link) bool {
 	p.mu.Lock()
 	delay := p.delays[link]
@@ -147,28 +149,28 @@
 	}
 }
 
-// Block holds what travels on a link, as often as Heal is called for it.
+// Block holds back data on a link until Unblock has been called as often as Block.
 func (p *Proxy) Block(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.blocked[link]++
 }
 
-// Unblock takes one Silence back.
+// Unblock reverts one call of Block.
 func (p *Proxy) Unblock(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.blocked[link]--
 }
 
-// Delay makes everything on a link take so much longer; 0 ends that.
+// Delay sets the delay added to each chunk of data on a link; 0 removes it.
 func (p *Proxy) Delay(link Link, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delays[link] = delay
 }
 
-// Reset ends the connections between two processes with resets, whoever opened them.
+// Reset resets all connections between two processes, whichever opened them.
 func (p *Proxy) Reset(a, b string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,7 +182,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes the listeners, resets all connections and waits for the proxy's goroutines.
 func (p *Proxy) Close() {
 	close(p.done)
 	p.mu.Lock()
