--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// Fleet is what faults strike.
+// Fleet is the set of processes, links and actions that faults apply to.
 type Fleet struct {
 	Control  []*Process
 	Gateways []*Process
 	Proxy    *Proxy
-	// Leader returns the number of the control process that seems to lead.
+	// Leader returns the index in Control of the presumed leader.
 	Leader func() int
-	// KillWorker ends a worker and starts it again as another life after a time; Heat makes a tenant send many times its usual;
-	// Lower lowers a tenant's limit for a time; Change replaces the document by one that differs in nothing that matters; Deadly lets a
-	// request come again and again that ends each worker that begins to run it; Forge lets another writer send heartbeats that can't be read
-	// in full; Shed lets workers turn requests away and ask for rest; Leave lets one say in its answers that it leaves, and another life follow; Need lets
-	// workers name a limit of requests.
+	// KillWorker kills a worker and restarts it as a new incarnation after a time; OverloadTenant multiplies a tenant's
+	// request rate; LowerLimit lowers a tenant's limit for a time; ChangeSetting writes a settings document that
+	// differs without effect; SendFatalRequests repeats a request that crashes each worker that runs it;
+	// ForgeHeartbeats sends heartbeats of an unknown sender that can be decoded only in part; RejectRequests makes
+	// workers reject requests and ask for backoff; DrainWorker makes a worker announce its shutdown in responses and
+	// then restarts it as a new incarnation; AdvertiseLimits makes workers advertise a request rate limit.
 	KillWorker        func(ctx context.Context, target int, length time.Duration)
 	OverloadTenant    func(ctx context.Context, target int, length time.Duration)
 	LowerLimit        func(ctx context.Context, target int, length time.Duration)
@@ -30,10 +31,10 @@
 	AdvertiseLimits   func(ctx context.Context, target int, length time.Duration)
 }
 
-// linkDelay is how much longer things take on links that are linkDelay.
+// linkDelay is the delay that DelayLinks adds to each link.
 const linkDelay = 40 * time.Millisecond
 
-// Play lets a plan's faults strike, and returns once all have healed. When ctx ends, faults heal at once.
+// Play injects the faults of a plan and returns once all have healed. Faults heal at once when ctx is done.
 func (f *Fleet) Play(ctx context.Context, plan Plan, start time.Time, onStart func(Fault)) {
 	var faults sync.WaitGroup
 	for _, fault := range plan.Faults {
@@ -48,7 +49,7 @@
 	faults.Wait()
 }
 
-// Sleep waits, and is false when ctx ended first.
+// Sleep waits for a duration and returns false if ctx is done first.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -58,7 +59,7 @@
 	}
 }
 
-// inject makes one fault and heals it.
+// inject applies a fault, waits for its duration and reverts it.
 func (f *Fleet) inject(ctx context.Context, fault Fault) {
 	duration := time.Duration(fault.ForMS) * time.Millisecond
 	gateway := f.Gateways[fault.Target%len(f.Gateways)]
@@ -114,10 +115,10 @@
 	}
 }
 
-// resetInterval is the pause between two resets in a series: shorter than what a change takes to be acknowledged.
+// resetInterval is the time between resets in a series. It is shorter than a settings change takes to be acknowledged.
 const resetInterval = 30 * time.Millisecond
 
-// resetControl resets the connections between control processes again and again.
+// resetControl repeatedly resets the connections between control processes.
 func (f *Fleet) resetControl(ctx context.Context, duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end) && Sleep(ctx, resetInterval); {
 		for i, one := range f.Control {
@@ -132,7 +133,7 @@
 	return append(append([]*Process{}, f.Control...), f.Gateways...)
 }
 
-// linksOf returns the links from a process to others, and back where both is set.
+// linksOf returns the links from a process to others, and the reverse links if both is set.
 func (f *Fleet) linksOf(p *Process, others []*Process, both bool) []Link {
 	var links []Link
 	for _, other := range others {
@@ -147,7 +148,7 @@
 	return links
 }
 
-// stopFor ends processes for a time. One that is stopFor already starts with the first fault that heals.
+// stopFor stops processes for a time. With overlapping faults, a process restarts when the first of them heals.
 func (f *Fleet) stopFor(ctx context.Context, duration time.Duration, signal syscall.Signal, processes ...*Process) {
 	var ends sync.WaitGroup
 	for _, p := range processes {
@@ -156,7 +157,7 @@
 	ends.Wait()
 	Sleep(ctx, duration)
 	for _, p := range processes {
-		_ = p.Start() // one that cannot start serves nobody, which the promises show
+		_ = p.Start() // a failed start shows up as violations
 	}
 }
 
