--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -3,60 +3,63 @@
 import "time"
 
 const (
-	// maxBackoffRequests is how many requests may still reach a back end in its rest from a process that was seen to have heard of it.
+	// maxBackoffRequests is how many requests a process may still send to a back end during a backoff that it is known
+	// to have received.
 	maxBackoffRequests = 2
-	// drainPropagationDelay is how long after it was seen to have heard that a back end leaves a process may still take requests that go there.
+	// drainPropagationDelay is the time after a process learns that a back end is draining during which its requests
+	// are not counted.
 	drainPropagationDelay = 500 * time.Millisecond
 )
 
-// Sender is one life of a process that passes requests on.
+// Sender is one incarnation of a process that forwards requests.
 type Sender struct {
 	Name    string
-	Process int // its number; another life has another one
+	Process int // number that differs between incarnations
 }
 
-// sentRequest is a request that a caller sentRequest to a process.
+// sentRequest is when a caller sent a request, and to which process.
 type sentRequest struct {
 	by Sender
 	at time.Duration
 }
 
-// signal is what one life of a back end said of itself in one answer.
+// signal is what one incarnation of a back end stated about itself in one response.
 type signal struct {
 	incarnation  string
-	backoffUntil time.Duration // end of the rest that it asked for
+	backoffUntil time.Duration // end of the requested backoff
 	draining     bool
-	limit        *advertisedLimit // in which it names a limit, or nil
-	confirmedAt  time.Duration    // when it was seen that the process had heard of it; 0 not yet
-	received     int              // requests that came in the rest although they were sent after that
+	limit        *advertisedLimit // advertised rate limit, or nil
+	confirmedAt  time.Duration    // when the process was first known to have received the response; 0 if it isn't yet
+	received     int              // requests sent after confirmedAt that arrived during the backoff
 }
 
-// signalLog is what back ends signalLog of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
-// and whoever reads it changes no verdict, since only what a caller sent after the process had shown that it knows counts.
+// signalLog holds what back ends stated about themselves and which processes received it. Only requests that a caller
+// sent after the receiving process was known to have read the response are checked, so scheduling delays on a slow
+// machine cause no violations.
 type signalLog struct {
-	sent        map[string]sentRequest      // by request
-	byReceiver  map[Sender][]*signal        // by who heard them
-	unconfirmed map[string][]*signal        // by request: words in its answers that the process hasn't shown yet to have heard
-	limits      map[string]*advertisedLimit // by life, the newest
+	sent        map[string]sentRequest      // by request ID
+	byReceiver  map[Sender][]*signal        // by the process that received the response
+	unconfirmed map[string][]*signal        // by request ID: signals that the process is not yet known to have received
+	limits      map[string]*advertisedLimit // by incarnation; the newest only
 }
 
 func newSignalLog() signalLog {
 	return signalLog{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*signal{}, unconfirmed: map[string][]*signal{}, limits: map[string]*advertisedLimit{}}
 }
 
-// RecordSent notes that a caller is about to send a request to a process.
+// RecordSent records that a caller is about to send a request to a process.
 func (w *Watcher) RecordSent(at time.Duration, id string, by Sender) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.signals.sent[id] = sentRequest{by, at}
 }
 
-// RecordBackoff notes that a life of a back end answered a request with the wish for rest.
+// RecordBackoff records that an incarnation of a back end asked for a backoff in its response to a request.
 func (w *Watcher) RecordBackoff(at time.Duration, id, incarnation string, backoff time.Duration) {
 	w.addSignal(id, &signal{incarnation: incarnation, backoffUntil: at + backoff})
 }
 
-// RecordDraining notes that a life of a back end said in its answer to a request that it leaves.
+// RecordDraining records that an incarnation of a back end announced in its response to a request that it is draining.
 func (w *Watcher) RecordDraining(id, incarnation string) {
 	w.addSignal(id, &signal{incarnation: incarnation, draining: true})
 }
@@ -74,14 +77,16 @@
 	w.signals.unconfirmed[id] = append(w.signals.unconfirmed[id], s)
 }
 
-// RecordResponseHead notes that a caller has the head of its answer, so that the process has read all answers that it got to the request before.
+// RecordResponseHead records that a caller received the response head of a request. The process it was sent to has then
+// read all back-end responses to earlier attempts.
 func (w *Watcher) RecordResponseHead(at time.Duration, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.confirm(at, id, "")
 }
 
-// confirm ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
+// confirm marks the signals in responses to a request as received by the process, except those of one incarnation. The
+// caller holds mu.
 func (w *Watcher) confirm(at time.Duration, id, exceptIncarnation string) {
 	var remaining []*signal
 	for _, s := range w.signals.unconfirmed[id] {
@@ -104,7 +109,8 @@
 	w.signals.unconfirmed[id] = remaining
 }
 
-// RecordArrival notes that a request came to a life of a back end.
+// RecordArrival records that a request reached an incarnation of a back end and checks it against the signals that the
+// process had received. Responses of other incarnations to the same request must have been read before.
 func (w *Watcher) RecordArrival(at time.Duration, id, incarnation string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -120,11 +126,11 @@
 		}
 		if at < s.backoffUntil {
 			if s.received++; s.received == maxBackoffRequests+1 {
-				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", incarnation, maxBackoffRequests, request.by.Name, s.backoffUntil-at)
+				w.addViolation(BackoffRespected, "%s received more than %d requests from %s during a backoff that ends in %v", incarnation, maxBackoffRequests, request.by.Name, s.backoffUntil-at)
 			}
 		}
 		if s.draining && request.at > s.confirmedAt+drainPropagationDelay {
-			w.addViolation(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", incarnation, request.by.Name, request.at-s.confirmedAt)
+			w.addViolation(DrainRespected, "%s received a request from %s that was sent %v after the process had learned that the back end is draining", incarnation, request.by.Name, request.at-s.confirmedAt)
 		}
 	}
 }
