--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -7,7 +7,8 @@
 
 var sendingGateway = Sender{Name: "g", Process: 1}
 
-// recordBackoffArrivals lets a back end ask for rest, the caller have its answer after 3 s, and so many later requests come 2 s after that.
+// recordBackoffArrivals records a back end's request for backoff, known to the gateway after 3 s, and a number of
+// requests that are sent at 4 s and arrive at 5 s.
 func recordBackoffArrivals(w *Watcher, later int, rest time.Duration) {
 	w.RecordSent(time.Second, "refused", sendingGateway)
 	w.RecordArrival(2*time.Second, "refused", "b")
@@ -20,24 +21,24 @@
 		w.RecordSent(4*time.Second, id, sendingGateway)
 		w.RecordArrival(5*time.Second, id, "b")
 	}
-	w.RecordSent(4*time.Second, "elsewhere", Sender{Name: "g", Process: 2}) // the next life hasn't heard of it
+	w.RecordSent(4*time.Second, "elsewhere", Sender{Name: "g", Process: 2}) // another incarnation, which does not know of the backoff
 	for range maxBackoffRequests + 1 {
 		w.RecordArrival(5*time.Second, "elsewhere", "b")
 	}
 }
 
-// recordDrainArrival lets a back end say that it leaves, which its gateway is seen to know after 3 s, and a request come to a life of it that was
-// sent at a time.
+// recordDrainArrival records that a back end is draining, known to the gateway after 3 s, and a request sent at a given
+// time that reaches an incarnation.
 func recordDrainArrival(w *Watcher, at time.Duration, life string) {
 	w.RecordSent(time.Second, "first", sendingGateway)
 	w.RecordDraining("first", "b")
-	w.RecordArrival(3*time.Second, "first", "c") // it went on elsewhere
+	w.RecordArrival(3*time.Second, "first", "c") // retried on another back end
 	w.RecordSent(at, "later", sendingGateway)
 	w.RecordArrival(at+time.Second, "later", life)
 }
 
-// recordLimitArrivals lets a back end name a limit of 1.4 requests a second after a second, for 20 s, the gateway be seen to know it after 2 s, and so many
-// requests that a process sent there come together at a time; 13.4 are allowed.
+// recordLimitArrivals records a limit of 1.4 requests per second, advertised from 1 s to 21 s and known to the gateway
+// after 2 s, and a number of requests that arrive together. A window allows 13.4.
 func recordLimitArrivals(w *Watcher, count int, at time.Duration, by Sender) {
 	w.RecordSent(time.Second, "first", sendingGateway)
 	w.RecordArrival(time.Second, "first", "b")
