--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -12,30 +12,30 @@
 	"time"
 )
 
-// TestGenerateIsDeterministic: the same seed draws the same plan, which is read back as it was written.
+// Equal seeds generate equal plans, a written plan is read back unchanged, and invalid plans are rejected.
 func TestGenerateIsDeterministic(t *testing.T) {
 	plan := Generate(7, time.Minute)
 	if !reflect.DeepEqual(plan, Generate(7, time.Minute)) || reflect.DeepEqual(plan.Faults, Generate(8, time.Minute).Faults) {
-		t.Fatal("plans do not follow their seeds")
+		t.Fatal("equal seeds must generate equal plans, and different seeds different ones")
 	}
 	path := filepath.Join(t.TempDir(), "plan.json")
 	if err := plan.Write(path); err != nil {
 		t.Fatal(err)
 	}
 	if read, err := Read(path); err != nil || !reflect.DeepEqual(read, plan) {
-		t.Fatalf("%v, %v", read, err)
+		t.Fatalf("read back plan %v, error %v", read, err)
 	}
 	for _, bad := range []string{``, `{}`, `{"length_ms":5,"faults":[{"kind":"unheard-of"}]}`, `{"length_ms":5,"faults":[{"kind":"kill-all","for_ms":-1}]}`} {
 		if err := os.WriteFile(path, []byte(bad), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Read(path); err == nil {
-			t.Errorf("%q is taken as a plan", bad)
+			t.Errorf("invalid plan %q was accepted", bad)
 		}
 	}
 }
 
-// TestStartAlternatesBuilds: a process that has another build changes it with each start; one that has none keeps its own.
+// Starts alternate between the builds of a process that has two; a process with one build always uses it.
 func TestStartAlternatesBuilds(t *testing.T) {
 	folder := t.TempDir()
 	build := func(name string) string {
@@ -50,7 +50,7 @@
 	plain := &Process{Name: "plain", Args: []string{older}, Log: filepath.Join(folder, "plain.log")}
 	for _, wanted := range []string{older, newer, older} {
 		if mixed.nextBuild() != wanted || plain.nextBuild() != older {
-			t.Fatalf("%s and %s are next, wanted %s and %s", mixed.nextBuild(), plain.nextBuild(), wanted, older)
+			t.Fatalf("next builds are %s and %s, want %s and %s", mixed.nextBuild(), plain.nextBuild(), wanted, older)
 		}
 		for _, p := range []*Process{mixed, plain} {
 			if err := p.Start(); err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestWatcherReportsViolations, each from the observation that decides it.
+// Each sequence of observations yields exactly the expected violation, or none.
 func TestWatcherReportsViolations(t *testing.T) {
 	limit := TenantLimit{Units: func(window time.Duration) float64 { return 100 * window.Seconds() }}
 	for _, c := range []struct {
@@ -95,9 +95,9 @@
 		{"", func(w *Watcher) { recordDrainArrival(w, 4*time.Second, "the next life of b") }},
 		{"", func(w *Watcher) { recordLimitArrivals(w, 13, 5*time.Second, sendingGateway) }},
 		{AdvertisedLimitRespected, func(w *Watcher) { recordLimitArrivals(w, 14, 5*time.Second, sendingGateway) }},
-		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // that one hasn't heard of it
-		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 3*time.Second, sendingGateway) }},                // too soon after the first naming
-		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 30*time.Second, sendingGateway) }},               // the limit is over
+		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // unaware of the limit
+		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 3*time.Second, sendingGateway) }},                // within the grace period
+		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 30*time.Second, sendingGateway) }},               // the limit has expired
 		{"", func(w *Watcher) {
 			w.RecordBurstWindow(0, 2*time.Second)
 			recordLimitArrivals(w, 30, 5*time.Second, sendingGateway)
@@ -113,12 +113,12 @@
 		c.record(w)
 		broken := w.Close()
 		if c.wanted == "" && len(broken) > 0 || c.wanted != "" && (len(broken) != 1 || broken[0].Guarantee != c.wanted) {
-			t.Errorf("wanted %q broken, found %v", c.wanted, broken)
+			t.Errorf("want violation of %q, got %v", c.wanted, broken)
 		}
 	}
 }
 
-// recordFatalArrivals lets one request come so often, the first three at once, the rest a minute later.
+// recordFatalArrivals records arrivals of a fatal request: the first three at once, the others a minute later.
 func recordFatalArrivals(w *Watcher, count int) {
 	for n := range count {
 		at := time.Duration(n)
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestQuarantineDecided: a fatal request can be judged once its callers were told often enough that it is held back, or once it came
-// to more workers than it may; not by what a few saw.
+// Quarantine is decided only after enough callers were told that a request is quarantined, or after it reached too many
+// workers.
 func TestQuarantineDecided(t *testing.T) {
 	for _, c := range []struct {
 		arrivals, quarantined int
@@ -142,12 +142,12 @@
 			w.RecordQuarantined("deadly 1")
 		}
 		if w.QuarantineDecided("deadly 1") != c.decided || w.QuarantineDecided("another") {
-			t.Errorf("%d arrivals, %d times held back: settled %v", c.arrivals, c.quarantined, !c.decided)
+			t.Errorf("%d arrivals, %d quarantine responses: decided = %v", c.arrivals, c.quarantined, !c.decided)
 		}
 	}
 }
 
-// TestLowerLimitAppliesToWholeWindows: a window that began before the older limit ended may still hold what that allowed.
+// A lowered limit does not apply to windows that began before it took effect.
 func TestLowerLimitAppliesToWholeWindows(t *testing.T) {
 	constant := func(units float64) func(time.Duration) float64 { return func(time.Duration) float64 { return units } }
 	for _, c := range []struct {
@@ -160,12 +160,12 @@
 		w.RecordRequest("a", false)
 		w.RecordExecution(c.at, "a", "t", 50)
 		if broken := w.Close(); len(broken) != c.broken {
-			t.Errorf("at %v: %v", c.at, broken)
+			t.Errorf("execution at %v: violations %v", c.at, broken)
 		}
 	}
 }
 
-// openProxiedConnection returns a connection through a proxy from "a" to "b", its far end, and the proxy.
+// openProxiedConnection returns a proxy and both ends of a connection through it from "a" to "b".
 func openProxiedConnection(t *testing.T) (p *Proxy, near, far net.Conn) {
 	t.Helper()
 	target, err := net.Listen("tcp", "127.0.0.1:0")
@@ -205,7 +205,7 @@
 	}
 }
 
-// TestProxyBlocksOneDirection: what travels on a silent link is held, the other way goes on, and all arrives once it is healed.
+// A blocked link holds data back while the other direction works, and delivers it after it is unblocked.
 func TestProxyBlocksOneDirection(t *testing.T) {
 	p, near, far := openProxiedConnection(t)
 	send(t, near, far)
@@ -216,7 +216,7 @@
 	}
 	_ = far.SetReadDeadline(time.Now().Add(5 * blockedPollInterval))
 	if _, err := far.Read(make([]byte, 1)); err == nil {
-		t.Fatal("it passed a silent link")
+		t.Fatal("data passed a blocked link")
 	}
 	_ = far.SetReadDeadline(time.Time{})
 	p.Unblock(Link{"a", "b"})
@@ -225,19 +225,19 @@
 	}
 }
 
-// TestProxyResetsBothEnds both ends.
+// Reset closes both ends of a connection with a TCP reset, not with EOF.
 func TestProxyResetsBothEnds(t *testing.T) {
 	p, near, far := openProxiedConnection(t)
 	send(t, near, far)
 	p.Reset("b", "a")
 	for _, end := range []net.Conn{near, far} {
 		if _, err := end.Read(make([]byte, 1)); err == nil || err == io.EOF {
-			t.Fatalf("an end was not reset: %v", err)
+			t.Fatalf("read on a reset connection: %v, want a connection reset error", err)
 		}
 	}
 }
 
-// openConnection returns both ends of a connection that we opened: the opener's, and that which a listener accepted.
+// openConnection returns both ends of a loopback connection within this process: the dialer's and the accepted one.
 func openConnection(t *testing.T) (opener, accepted net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -256,8 +256,7 @@
 	return opener, accepted
 }
 
-// TestOwnerCostIndependentOfSocketCount: what it costs to find who opened a connection does not grow with the machine's sockets. A proxy
-// that reads them all for each connection starves the processes under test beside whatever holds many.
+// Guards against listing all sockets of the machine for each connection, which slows down the processes under test.
 func TestOwnerCostIndependentOfSocketCount(t *testing.T) {
 	const others, runs = 200, 3
 	for range others {
@@ -265,11 +264,12 @@
 	}
 	_, near := openConnection(t)
 	if allocs := testing.AllocsPerRun(runs, func() { Owner(nil, near) }); allocs >= others {
-		t.Fatalf("%.0f allocations to find the owner of one connection beside %d others", allocs, others)
+		t.Fatalf("%.0f allocations to find the owner of one connection among %d others", allocs, others)
 	}
 }
 
-// TestSocketInodeIdentifiesEachEnd: told by the kernel, for each end its own opener.
+// The two ends of a connection have different inodes, each open in its own process only, and none after both are
+// closed.
 func TestSocketInodeIdentifiesEachEnd(t *testing.T) {
 	p := &Process{Name: "child", Args: []string{"/bin/sleep", "30"}, Log: filepath.Join(t.TempDir(), "log")}
 	if err := p.Start(); err != nil {
@@ -278,24 +278,24 @@
 	defer p.Stop(9)
 	opener, near := openConnection(t)
 	if name := Owner([]*Process{p}, near); name != "" {
-		t.Fatalf("a connection of ours is %q's", name)
+		t.Fatalf("owner of a connection of the test process is %q, want none", name)
 	}
 	inode := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr()))
 	socket := fmt.Sprintf("socket:[%d]", inode)
 	if inode == 0 || !hasSocketOpen(os.Getpid(), socket) || hasSocketOpen(p.PID(), socket) {
-		t.Fatalf("a connection of ours is not found: %s", socket)
+		t.Fatalf("%s is not found, or not open in the test process only", socket)
 	}
 	if other := socketInode(endpointOf(opener.RemoteAddr()), endpointOf(opener.LocalAddr())); other == 0 || other == inode {
-		t.Fatalf("both ends are socket %d", other)
+		t.Fatalf("inode of the other end is %d, want one that is set and different", other)
 	}
 	_ = opener.Close()
 	_ = near.Close()
 	if inode := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr())); inode != 0 {
-		t.Fatalf("a connection that has ended is socket %d", inode)
+		t.Fatalf("closed connection has inode %d, want 0", inode)
 	}
 }
 
-// TestOwnerReturnsDialingProcess a connection to us, among several.
+// Owner returns the process that dialed, among several.
 func TestOwnerReturnsDialingProcess(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -317,6 +317,6 @@
 	}
 	defer near.Close()
 	if name := Owner([]*Process{other, dialer}, near); name != "dialer" {
-		t.Fatalf("the connection of dialer is %q's", name)
+		t.Fatalf("owner is %q, want dialer", name)
 	}
 }
