--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -27,15 +27,15 @@
 // valid until a given time.
 func (w *Watcher) RecordAdvertisedLimit(at time.Duration, id, incarnation string, rate float64, until time.Duration) {
 	w.mu.Lock()
-	n := w.signals.limits[incarnation]
-	if n == nil || at >= n.until {
-		n = &advertisedLimit{from: at, until: until, rate: rate, observedAt: map[Sender]time.Duration{}}
-		w.signals.limits[incarnation] = n
+	limit := w.signals.limits[incarnation]
+	if limit == nil || at >= limit.until {
+		limit = &advertisedLimit{from: at, until: until, rate: rate, observedAt: map[Sender]time.Duration{}}
+		w.signals.limits[incarnation] = limit
 	}
-	_, heard := n.observedAt[w.signals.sent[id].by]
+	_, heard := limit.observedAt[w.signals.sent[id].by]
 	w.mu.Unlock()
 	if !heard {
-		w.addSignal(id, &signal{incarnation: incarnation, limit: n})
+		w.addSignal(id, &signal{incarnation: incarnation, limit: limit})
 	}
 }
 
