--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -42,17 +42,17 @@
 // checkAdvertisedLimit counts a request that reached an incarnation of a back end and reports a violation if the
 // advertised limit is exceeded. The caller holds mu.
 func (w *Watcher) checkAdvertisedLimit(at time.Duration, request sentRequest, incarnation string) {
-	n := w.signals.limits[incarnation]
-	if n == nil || at >= n.until {
+	limit := w.signals.limits[incarnation]
+	if limit == nil || at >= limit.until {
 		return
 	}
-	if heard, known := n.observedAt[request.by]; !known || request.at <= heard+limitPropagationDelay {
+	if heard, known := limit.observedAt[request.by]; !known || request.at <= heard+limitPropagationDelay {
 		return
 	}
-	n.arrivals = window.Add(n.arrivals, at)
-	allowed := window.Allowed(n.rate)
-	if at >= n.from+limitGracePeriod && float64(len(n.arrivals)) > allowed && !w.mayBeBurst(at) {
-		w.addViolation(AdvertisedLimitRespected, "%s advertised %.1f requests per second but received %d within %v from processes that knew the limit; %.0f allowed", incarnation, n.rate, len(n.arrivals), window.Length, allowed)
+	limit.arrivals = window.Add(limit.arrivals, at)
+	allowed := window.Allowed(limit.rate)
+	if at >= limit.from+limitGracePeriod && float64(len(limit.arrivals)) > allowed && !w.mayBeBurst(at) {
+		w.addViolation(AdvertisedLimitRespected, "%s advertised %.1f requests per second but received %d within %v from processes that knew the limit; %.0f allowed", incarnation, limit.rate, len(limit.arrivals), window.Length, allowed)
 	}
 }
 
