--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -32,9 +32,9 @@
 		limit = &advertisedLimit{from: at, until: until, rate: rate, observedAt: map[Sender]time.Duration{}}
 		w.signals.limits[incarnation] = limit
 	}
-	_, heard := limit.observedAt[w.signals.sent[id].by]
+	_, known := limit.observedAt[w.signals.sent[id].by]
 	w.mu.Unlock()
-	if !heard {
+	if !known {
 		w.addSignal(id, &signal{incarnation: incarnation, limit: limit})
 	}
 }
