--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -46,7 +46,7 @@
 	if limit == nil || at >= limit.until {
 		return
 	}
-	if heard, known := limit.observedAt[request.by]; !known || request.at <= heard+limitPropagationDelay {
+	if observedAt, known := limit.observedAt[request.by]; !known || request.at <= observedAt+limitPropagationDelay {
 		return
 	}
 	limit.arrivals = window.Add(limit.arrivals, at)
