--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -165,10 +165,10 @@
 }
 
 // RecordViolation records a violation that was detected elsewhere.
-func (w *Watcher) RecordViolation(promise Guarantee, format string, values ...any) {
+func (w *Watcher) RecordViolation(guarantee Guarantee, format string, values ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.addViolation(promise, format, values...)
+	w.addViolation(guarantee, format, values...)
 }
 
 // maxViolations bounds the recorded violations.
