--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -174,9 +174,9 @@
 // maxViolations bounds the recorded violations.
 const maxViolations = 200
 
-func (w *Watcher) addViolation(promise Guarantee, format string, values ...any) {
+func (w *Watcher) addViolation(guarantee Guarantee, format string, values ...any) {
 	if len(w.violations) < maxViolations {
-		w.violations = append(w.violations, Violation{Guarantee: promise, Detail: fmt.Sprintf(format, values...)})
+		w.violations = append(w.violations, Violation{Guarantee: guarantee, Detail: fmt.Sprintf(format, values...)})
 	}
 }
 
