--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -81,9 +81,9 @@
 type interval struct{ from, to time.Duration }
 
 // NewWatcher returns a Watcher without observations.
-func NewWatcher(window, settle time.Duration) *Watcher {
+func NewWatcher(window, limitSettleTime time.Duration) *Watcher {
 	return &Watcher{
-		Window: window, LimitSettleTime: settle, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
+		Window: window, LimitSettleTime: limitSettleTime, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
 		signals: newSignalLog(), outcomes: map[string]int{}, fatalArrivals: map[string][]time.Duration{}, quarantineReplies: map[string]int{},
 	}
 }
