--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -64,7 +64,7 @@
 
 	mu                sync.Mutex
 	requests          map[string]*requestState   // by request ID; guarded by mu
-	runs              map[string][]execution     // by tenant; guarded by mu
+	executions        map[string][]execution     // by tenant; guarded by mu
 	limits            map[string][]TenantLimit   // by tenant, ascending; guarded by mu
 	violations        []Violation                // guarded by mu
 	outcomes          map[string]int             // number of responses by outcome; guarded by mu
@@ -83,7 +83,7 @@
 // NewWatcher returns a Watcher without observations.
 func NewWatcher(window, limitSettleTime time.Duration) *Watcher {
 	return &Watcher{
-		Window: window, LimitSettleTime: limitSettleTime, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
+		Window: window, LimitSettleTime: limitSettleTime, requests: map[string]*requestState{}, executions: map[string][]execution{}, limits: map[string][]TenantLimit{},
 		signals: newSignalLog(), outcomes: map[string]int{}, fatalArrivals: map[string][]time.Duration{}, quarantineReplies: map[string]int{},
 	}
 }
@@ -113,7 +113,7 @@
 func (w *Watcher) RecordExecution(at time.Duration, id, tenant string, units float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.runs[tenant] = append(w.runs[tenant], execution{at: at, units: units})
+	w.executions[tenant] = append(w.executions[tenant], execution{at: at, units: units})
 	request := w.requests[id]
 	if request == nil {
 		w.addViolation(CorrectResponse, "a back end executed %q, which no caller sent", id)
@@ -187,7 +187,7 @@
 func (w *Watcher) Close() []Violation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for tenant, runs := range w.runs {
+	for tenant, runs := range w.executions {
 		w.checkLimit(tenant, runs)
 	}
 	servedCount := 0
