--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -187,8 +187,8 @@
 func (w *Watcher) Close() []Violation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for tenant, runs := range w.executions {
-		w.checkLimit(tenant, runs)
+	for tenant, executions := range w.executions {
+		w.checkLimit(tenant, executions)
 	}
 	servedCount := 0
 	for _, served := range w.served {
