--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -268,14 +268,14 @@
 }
 
 // checkLimit checks the tenant's usage in each window that ends with the start of an execution.
-func (w *Watcher) checkLimit(tenant string, runs []execution) {
-	slices.SortFunc(runs, func(a, b execution) int { return int(a.at - b.at) })
+func (w *Watcher) checkLimit(tenant string, executions []execution) {
+	slices.SortFunc(executions, func(a, b execution) int { return int(a.at - b.at) })
 	sum, first := 0.0, 0
-	for _, r := range runs {
-		for sum += r.units; runs[first].at <= r.at-w.Window; first++ {
-			sum -= runs[first].units
+	for _, r := range executions {
+		for sum += r.units; executions[first].at <= r.at-w.Window; first++ {
+			sum -= executions[first].units
 		}
-		allowed, limited := w.allowed(tenant, runs[first].at)
+		allowed, limited := w.allowed(tenant, executions[first].at)
 		if limited && sum > allowed {
 			w.addViolation(WithinLimit, "tenant %s used %.0f units in the %v before %v, %.0f allowed", tenant, sum, w.Window, r.at.Round(time.Millisecond), allowed)
 			return
