--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -271,13 +271,13 @@
 func (w *Watcher) checkLimit(tenant string, executions []execution) {
 	slices.SortFunc(executions, func(a, b execution) int { return int(a.at - b.at) })
 	sum, first := 0.0, 0
-	for _, r := range executions {
-		for sum += r.units; executions[first].at <= r.at-w.Window; first++ {
+	for _, e := range executions {
+		for sum += e.units; executions[first].at <= e.at-w.Window; first++ {
 			sum -= executions[first].units
 		}
 		allowed, limited := w.allowed(tenant, executions[first].at)
 		if limited && sum > allowed {
-			w.addViolation(WithinLimit, "tenant %s used %.0f units in the %v before %v, %.0f allowed", tenant, sum, w.Window, r.at.Round(time.Millisecond), allowed)
+			w.addViolation(WithinLimit, "tenant %s used %.0f units in the %v before %v, %.0f allowed", tenant, sum, w.Window, e.at.Round(time.Millisecond), allowed)
 			return
 		}
 	}
