--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -13,8 +13,8 @@
 
 // Sender is one incarnation of a process that forwards requests.
 type Sender struct {
-	Name    string
-	Process int // number that differs between incarnations
+	Name        string
+	Incarnation int // number that differs between incarnations
 }
 
 // sentRequest is when a caller sent a request, and to which process.
--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-var sendingGateway = Sender{Name: "g", Process: 1}
+var sendingGateway = Sender{Name: "g", Incarnation: 1}
 
 // recordBackoffArrivals records a back end's request for backoff, known to the gateway after 3 s, and a number of
 // requests that are sent at 4 s and arrive at 5 s.
@@ -21,7 +21,7 @@
 		w.RecordSent(4*time.Second, id, sendingGateway)
 		w.RecordArrival(5*time.Second, id, "b")
 	}
-	w.RecordSent(4*time.Second, "elsewhere", Sender{Name: "g", Process: 2}) // another incarnation, which does not know of the backoff
+	w.RecordSent(4*time.Second, "elsewhere", Sender{Name: "g", Incarnation: 2}) // another incarnation, which does not know of the backoff
 	for range maxBackoffRequests + 1 {
 		w.RecordArrival(5*time.Second, "elsewhere", "b")
 	}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -95,9 +95,9 @@
 		{"", func(w *Watcher) { recordDrainArrival(w, 4*time.Second, "the next life of b") }},
 		{"", func(w *Watcher) { recordLimitArrivals(w, 13, 5*time.Second, sendingGateway) }},
 		{AdvertisedLimitRespected, func(w *Watcher) { recordLimitArrivals(w, 14, 5*time.Second, sendingGateway) }},
-		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // unaware of the limit
-		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 3*time.Second, sendingGateway) }},                // within the grace period
-		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 30*time.Second, sendingGateway) }},               // the limit has expired
+		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Incarnation: 2}) }}, // unaware of the limit
+		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 3*time.Second, sendingGateway) }},                    // within the grace period
+		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 30*time.Second, sendingGateway) }},                   // the limit has expired
 		{"", func(w *Watcher) {
 			w.RecordBurstWindow(0, 2*time.Second)
 			recordLimitArrivals(w, 30, 5*time.Second, sendingGateway)
