--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -32,7 +32,7 @@
 		limit = &advertisedLimit{from: at, until: until, rate: rate, observedAt: map[Sender]time.Duration{}}
 		w.signals.limits[incarnation] = limit
 	}
-	_, known := limit.observedAt[w.signals.sent[id].by]
+	_, known := limit.observedAt[w.signals.sent[id].sender]
 	w.mu.Unlock()
 	if !known {
 		w.addSignal(id, &signal{incarnation: incarnation, limit: limit})
@@ -46,7 +46,7 @@
 	if limit == nil || at >= limit.until {
 		return
 	}
-	if observedAt, known := limit.observedAt[request.by]; !known || request.at <= observedAt+limitPropagationDelay {
+	if observedAt, known := limit.observedAt[request.sender]; !known || request.at <= observedAt+limitPropagationDelay {
 		return
 	}
 	limit.arrivals = window.Add(limit.arrivals, at)
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -19,8 +19,8 @@
 
 // sentRequest is when a caller sent a request, and to which process.
 type sentRequest struct {
-	by Sender
-	at time.Duration
+	sender Sender
+	at     time.Duration
 }
 
 // signal is what one incarnation of a back end stated about itself in one response.
@@ -72,7 +72,7 @@
 		return
 	}
 	if s.limit == nil {
-		w.signals.byReceiver[request.by] = append(w.signals.byReceiver[request.by], s)
+		w.signals.byReceiver[request.sender] = append(w.signals.byReceiver[request.sender], s)
 	}
 	w.signals.unconfirmed[id] = append(w.signals.unconfirmed[id], s)
 }
@@ -98,7 +98,7 @@
 		if s.limit == nil {
 			continue
 		}
-		if by := w.signals.sent[id].by; s.limit.observedAt[by] == 0 {
+		if by := w.signals.sent[id].sender; s.limit.observedAt[by] == 0 {
 			s.limit.observedAt[by] = at
 		}
 	}
@@ -120,17 +120,17 @@
 	}
 	w.confirm(at, id, incarnation)
 	w.checkAdvertisedLimit(at, request, incarnation)
-	for _, s := range w.signals.byReceiver[request.by] {
+	for _, s := range w.signals.byReceiver[request.sender] {
 		if s.incarnation != incarnation || s.confirmedAt == 0 || request.at <= s.confirmedAt {
 			continue
 		}
 		if at < s.backoffUntil {
 			if s.received++; s.received == maxBackoffRequests+1 {
-				w.addViolation(BackoffRespected, "%s received more than %d requests from %s during a backoff that ends in %v", incarnation, maxBackoffRequests, request.by.Name, s.backoffUntil-at)
+				w.addViolation(BackoffRespected, "%s received more than %d requests from %s during a backoff that ends in %v", incarnation, maxBackoffRequests, request.sender.Name, s.backoffUntil-at)
 			}
 		}
 		if s.draining && request.at > s.confirmedAt+drainPropagationDelay {
-			w.addViolation(DrainRespected, "%s received a request from %s that was sent %v after the process had learned that the back end is draining", incarnation, request.by.Name, request.at-s.confirmedAt)
+			w.addViolation(DrainRespected, "%s received a request from %s that was sent %v after the process had learned that the back end is draining", incarnation, request.sender.Name, request.at-s.confirmedAt)
 		}
 	}
 }
