--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -98,8 +98,8 @@
 		if s.limit == nil {
 			continue
 		}
-		if by := w.signals.sent[id].sender; s.limit.observedAt[by] == 0 {
-			s.limit.observedAt[by] = at
+		if sender := w.signals.sent[id].sender; s.limit.observedAt[sender] == 0 {
+			s.limit.observedAt[sender] = at
 		}
 	}
 	if remaining == nil {
