--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -48,10 +48,10 @@
 }
 
 // RecordSent records that a caller is about to send a request to a process.
-func (w *Watcher) RecordSent(at time.Duration, id string, by Sender) {
+func (w *Watcher) RecordSent(at time.Duration, id string, sender Sender) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.signals.sent[id] = sentRequest{by, at}
+	w.signals.sent[id] = sentRequest{sender, at}
 }
 
 // RecordBackoff records that an incarnation of a back end asked for a backoff in its response to a request.
