--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -63,7 +63,7 @@
 	replyBytes           = unix.NLMSG_HDRLEN + 72
 	replyState           = unix.NLMSG_HDRLEN + 1
 	replyInode           = unix.NLMSG_HDRLEN + 68
-	established          = 1
+	tcpEstablished       = 1
 	noCookie             = 0xffffffffffffffff
 	replyTimeoutSeconds  = 2 // keeps a lost reply from blocking the caller forever
 )
@@ -84,7 +84,7 @@
 	}
 	reply := make([]byte, unix.Getpagesize())
 	count, _, err := unix.Recvfrom(socket, reply, 0)
-	if err != nil || count < replyBytes || binary.NativeEndian.Uint16(reply[4:]) != unix.SOCK_DIAG_BY_FAMILY || reply[replyState] != established {
+	if err != nil || count < replyBytes || binary.NativeEndian.Uint16(reply[4:]) != unix.SOCK_DIAG_BY_FAMILY || reply[replyState] != tcpEstablished {
 		return 0
 	}
 	return binary.NativeEndian.Uint32(reply[replyInode:])
