--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -150,11 +150,11 @@
 
 // stopFor stops processes for a time. With overlapping faults, a process restarts when the first of them heals.
 func (f *Fleet) stopFor(ctx context.Context, duration time.Duration, signal syscall.Signal, processes ...*Process) {
-	var ends sync.WaitGroup
+	var stops sync.WaitGroup
 	for _, p := range processes {
-		ends.Go(func() { p.Stop(signal) })
+		stops.Go(func() { p.Stop(signal) })
 	}
-	ends.Wait()
+	stops.Wait()
 	Sleep(ctx, duration)
 	for _, p := range processes {
 		_ = p.Start() // a failed start shows up as violations
