--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -80,16 +80,16 @@
 		return
 	}
 	defer far.Close()
-	r := &proxiedConn{from: from, to: to, near: near, far: far}
+	c := &proxiedConn{from: from, to: to, near: near, far: far}
 	p.mu.Lock()
-	p.open[r] = struct{}{}
+	p.open[c] = struct{}{}
 	p.mu.Unlock()
 	var directions sync.WaitGroup
 	directions.Go(func() { p.copyDirection(near, far, Link{from, to}) })
 	directions.Go(func() { p.copyDirection(far, near, Link{to, from}) })
 	directions.Wait()
 	p.mu.Lock()
-	delete(p.open, r)
+	delete(p.open, c)
 	p.mu.Unlock()
 }
 
