--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -28,7 +28,7 @@
 	mu         sync.Mutex
 	blocked    map[Link]int              // number of active Block calls; guarded by mu
 	delays     map[Link]time.Duration    // guarded by mu
-	open       map[*proxiedConn]struct{} // guarded by mu
+	conns      map[*proxiedConn]struct{} // guarded by mu
 	listeners  []net.Listener            // guarded by mu
 	goroutines sync.WaitGroup
 	done       chan struct{}
@@ -43,7 +43,7 @@
 // NewProxy returns a proxy; owner returns the name of the process that opened an accepted connection, or "".
 func NewProxy(owner func(net.Conn) string) *Proxy {
 	return &Proxy{
-		owner: owner, blocked: map[Link]int{}, delays: map[Link]time.Duration{}, open: map[*proxiedConn]struct{}{}, done: make(chan struct{}),
+		owner: owner, blocked: map[Link]int{}, delays: map[Link]time.Duration{}, conns: map[*proxiedConn]struct{}{}, done: make(chan struct{}),
 	}
 }
 
@@ -82,14 +82,14 @@
 	defer far.Close()
 	c := &proxiedConn{from: from, to: to, near: near, far: far}
 	p.mu.Lock()
-	p.open[c] = struct{}{}
+	p.conns[c] = struct{}{}
 	p.mu.Unlock()
 	var directions sync.WaitGroup
 	directions.Go(func() { p.copyDirection(near, far, Link{from, to}) })
 	directions.Go(func() { p.copyDirection(far, near, Link{to, from}) })
 	directions.Wait()
 	p.mu.Lock()
-	delete(p.open, c)
+	delete(p.conns, c)
 	p.mu.Unlock()
 }
 
@@ -174,7 +174,7 @@
 func (p *Proxy) Reset(a, b string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for r := range p.open {
+	for r := range p.conns {
 		if r.from == a && r.to == b || r.from == b && r.to == a {
 			abort(r.near)
 			abort(r.far)
@@ -189,7 +189,7 @@
 	for _, listener := range p.listeners {
 		_ = listener.Close()
 	}
-	for r := range p.open {
+	for r := range p.conns {
 		abort(r.near)
 		abort(r.far)
 	}
