--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -29,12 +29,12 @@
 
 // recordDrainArrival records that a back end is draining, known to the gateway after 3 s, and a request sent at a given
 // time that reaches an incarnation.
-func recordDrainArrival(w *Watcher, at time.Duration, life string) {
+func recordDrainArrival(w *Watcher, at time.Duration, incarnation string) {
 	w.RecordSent(time.Second, "first", sendingGateway)
 	w.RecordDraining("first", "b")
 	w.RecordArrival(3*time.Second, "first", "c") // retried on another back end
 	w.RecordSent(at, "later", sendingGateway)
-	w.RecordArrival(at+time.Second, "later", life)
+	w.RecordArrival(at+time.Second, "later", incarnation)
 }
 
 // recordLimitArrivals records a limit of 1.4 requests per second, advertised from 1 s to 21 s and known to the gateway
