--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -9,10 +9,10 @@
 
 // recordBackoffArrivals records a back end's request for backoff, known to the gateway after 3 s, and a number of
 // requests that are sent at 4 s and arrive at 5 s.
-func recordBackoffArrivals(w *Watcher, later int, rest time.Duration) {
+func recordBackoffArrivals(w *Watcher, later int, backoff time.Duration) {
 	w.RecordSent(time.Second, "refused", sendingGateway)
 	w.RecordArrival(2*time.Second, "refused", "b")
-	w.RecordBackoff(2*time.Second, "refused", "b", rest)
+	w.RecordBackoff(2*time.Second, "refused", "b", backoff)
 	w.RecordSent(2*time.Second, "on its way", sendingGateway)
 	w.RecordResponseHead(3*time.Second, "refused")
 	w.RecordArrival(4*time.Second, "on its way", "b")
