--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -39,14 +39,14 @@
 
 // recordLimitArrivals records a limit of 1.4 requests per second, advertised from 1 s to 21 s and known to the gateway
 // after 2 s, and a number of requests that arrive together. A window allows 13.4.
-func recordLimitArrivals(w *Watcher, count int, at time.Duration, by Sender) {
+func recordLimitArrivals(w *Watcher, count int, at time.Duration, sender Sender) {
 	w.RecordSent(time.Second, "first", sendingGateway)
 	w.RecordArrival(time.Second, "first", "b")
 	w.RecordAdvertisedLimit(time.Second, "first", "b", 1.4, 21*time.Second)
 	w.RecordResponseHead(2*time.Second, "first")
 	for n := range count {
 		id := fmt.Sprint("later-", n)
-		w.RecordSent(at-time.Second/4, id, by)
+		w.RecordSent(at-time.Second/4, id, sender)
 		w.RecordArrival(at, id, "b")
 	}
 }
