--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -111,9 +111,9 @@
 		w.RecordRequest("a", false)
 		w.RecordRequest("once", true)
 		c.record(w)
-		broken := w.Close()
-		if c.wanted == "" && len(broken) > 0 || c.wanted != "" && (len(broken) != 1 || broken[0].Guarantee != c.wanted) {
-			t.Errorf("want violation of %q, got %v", c.wanted, broken)
+		violations := w.Close()
+		if c.wanted == "" && len(violations) > 0 || c.wanted != "" && (len(violations) != 1 || violations[0].Guarantee != c.wanted) {
+			t.Errorf("want violation of %q, got %v", c.wanted, violations)
 		}
 	}
 }
