--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -65,7 +65,7 @@
 func TestWatcherReportsViolations(t *testing.T) {
 	limit := TenantLimit{Units: func(window time.Duration) float64 { return 100 * window.Seconds() }}
 	for _, c := range []struct {
-		wanted Guarantee
+		want   Guarantee
 		record func(*Watcher)
 	}{
 		{"", func(w *Watcher) {
@@ -112,8 +112,8 @@
 		w.RecordRequest("once", true)
 		c.record(w)
 		violations := w.Close()
-		if c.wanted == "" && len(violations) > 0 || c.wanted != "" && (len(violations) != 1 || violations[0].Guarantee != c.wanted) {
-			t.Errorf("want violation of %q, got %v", c.wanted, violations)
+		if c.want == "" && len(violations) > 0 || c.want != "" && (len(violations) != 1 || violations[0].Guarantee != c.want) {
+			t.Errorf("want violation of %q, got %v", c.want, violations)
 		}
 	}
 }
