--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -48,9 +48,9 @@
 	older, newer := build("older"), build("newer")
 	mixed := &Process{Name: "mixed", Args: []string{older}, AlternateBuild: newer, Log: filepath.Join(folder, "mixed.log")}
 	plain := &Process{Name: "plain", Args: []string{older}, Log: filepath.Join(folder, "plain.log")}
-	for _, wanted := range []string{older, newer, older} {
-		if mixed.nextBuild() != wanted || plain.nextBuild() != older {
-			t.Fatalf("next builds are %s and %s, want %s and %s", mixed.nextBuild(), plain.nextBuild(), wanted, older)
+	for _, want := range []string{older, newer, older} {
+		if mixed.nextBuild() != want || plain.nextBuild() != older {
+			t.Fatalf("next builds are %s and %s, want %s and %s", mixed.nextBuild(), plain.nextBuild(), want, older)
 		}
 		for _, p := range []*Process{mixed, plain} {
 			if err := p.Start(); err != nil {
