--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -25,12 +25,12 @@
 	if read, err := Read(path); err != nil || !reflect.DeepEqual(read, plan) {
 		t.Fatalf("read back plan %v, error %v", read, err)
 	}
-	for _, bad := range []string{``, `{}`, `{"length_ms":5,"faults":[{"kind":"unheard-of"}]}`, `{"length_ms":5,"faults":[{"kind":"kill-all","for_ms":-1}]}`} {
-		if err := os.WriteFile(path, []byte(bad), 0o600); err != nil {
+	for _, invalid := range []string{``, `{}`, `{"length_ms":5,"faults":[{"kind":"unheard-of"}]}`, `{"length_ms":5,"faults":[{"kind":"kill-all","for_ms":-1}]}`} {
+		if err := os.WriteFile(path, []byte(invalid), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Read(path); err == nil {
-			t.Errorf("invalid plan %q was accepted", bad)
+			t.Errorf("invalid plan %q was accepted", invalid)
 		}
 	}
 }
