--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -37,17 +37,17 @@
 
 // Starts alternate between the builds of a process that has two; a process with one build always uses it.
 func TestStartAlternatesBuilds(t *testing.T) {
-	folder := t.TempDir()
+	dir := t.TempDir()
 	build := func(name string) string {
-		path := filepath.Join(folder, name)
+		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte("#!/bin/sh\nexec sleep 60\n"), 0o700); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
 	older, newer := build("older"), build("newer")
-	mixed := &Process{Name: "mixed", Args: []string{older}, AlternateBuild: newer, Log: filepath.Join(folder, "mixed.log")}
-	plain := &Process{Name: "plain", Args: []string{older}, Log: filepath.Join(folder, "plain.log")}
+	mixed := &Process{Name: "mixed", Args: []string{older}, AlternateBuild: newer, Log: filepath.Join(dir, "mixed.log")}
+	plain := &Process{Name: "plain", Args: []string{older}, Log: filepath.Join(dir, "plain.log")}
 	for _, want := range []string{older, newer, older} {
 		if mixed.nextBuild() != want || plain.nextBuild() != older {
 			t.Fatalf("next builds are %s and %s, want %s and %s", mixed.nextBuild(), plain.nextBuild(), want, older)
