--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -151,15 +151,15 @@
 func TestLowerLimitAppliesToWholeWindows(t *testing.T) {
 	constant := func(units float64) func(time.Duration) float64 { return func(time.Duration) float64 { return units } }
 	for _, c := range []struct {
-		at     time.Duration
-		broken int
+		at         time.Duration
+		violations int
 	}{{4 * time.Second, 0}, {7 * time.Second, 1}} {
 		w := NewWatcher(time.Second, time.Second)
 		w.RecordLimit("t", TenantLimit{Units: constant(100)})
 		w.RecordLimit("t", TenantLimit{From: 4 * time.Second, Units: constant(10)})
 		w.RecordRequest("a", false)
 		w.RecordExecution(c.at, "a", "t", 50)
-		if broken := w.Close(); len(broken) != c.broken {
+		if broken := w.Close(); len(broken) != c.violations {
 			t.Errorf("execution at %v: violations %v", c.at, broken)
 		}
 	}
