--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -159,8 +159,8 @@
 		w.RecordLimit("t", TenantLimit{From: 4 * time.Second, Units: constant(10)})
 		w.RecordRequest("a", false)
 		w.RecordExecution(c.at, "a", "t", 50)
-		if broken := w.Close(); len(broken) != c.violations {
-			t.Errorf("execution at %v: violations %v", c.at, broken)
+		if violations := w.Close(); len(violations) != c.violations {
+			t.Errorf("execution at %v: violations %v", c.at, violations)
 		}
 	}
 }
