--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -238,22 +238,22 @@
 }
 
 // openConnection returns both ends of a loopback connection within this process: the dialer's and the accepted one.
-func openConnection(t *testing.T) (opener, accepted net.Conn) {
+func openConnection(t *testing.T) (dialed, accepted net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	if opener, err = net.Dial("tcp", listener.Addr().String()); err != nil {
+	if dialed, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = opener.Close() })
+	t.Cleanup(func() { _ = dialed.Close() })
 	if accepted, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = accepted.Close() })
-	return opener, accepted
+	return dialed, accepted
 }
 
 // Guards against listing all sockets of the machine for each connection, which slows down the processes under test.
