--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -276,7 +276,7 @@
 		t.Fatal(err)
 	}
 	defer p.Stop(9)
-	opener, near := openConnection(t)
+	dialed, near := openConnection(t)
 	if name := Owner([]*Process{p}, near); name != "" {
 		t.Fatalf("owner of a connection of the test process is %q, want none", name)
 	}
@@ -285,10 +285,10 @@
 	if inode == 0 || !hasSocketOpen(os.Getpid(), socket) || hasSocketOpen(p.PID(), socket) {
 		t.Fatalf("%s is not found, or not open in the test process only", socket)
 	}
-	if other := socketInode(endpointOf(opener.RemoteAddr()), endpointOf(opener.LocalAddr())); other == 0 || other == inode {
+	if other := socketInode(endpointOf(dialed.RemoteAddr()), endpointOf(dialed.LocalAddr())); other == 0 || other == inode {
 		t.Fatalf("inode of the other end is %d, want one that is set and different", other)
 	}
-	_ = opener.Close()
+	_ = dialed.Close()
 	_ = near.Close()
 	if inode := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr())); inode != 0 {
 		t.Fatalf("closed connection has inode %d, want 0", inode)
