--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -262,8 +262,8 @@
 	for range others {
 		openConnection(t)
 	}
-	_, near := openConnection(t)
-	if allocs := testing.AllocsPerRun(runs, func() { Owner(nil, near) }); allocs >= others {
+	_, accepted := openConnection(t)
+	if allocs := testing.AllocsPerRun(runs, func() { Owner(nil, accepted) }); allocs >= others {
 		t.Fatalf("%.0f allocations to find the owner of one connection among %d others", allocs, others)
 	}
 }
