--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -276,11 +276,11 @@
 		t.Fatal(err)
 	}
 	defer p.Stop(9)
-	dialed, near := openConnection(t)
-	if name := Owner([]*Process{p}, near); name != "" {
+	dialed, accepted := openConnection(t)
+	if name := Owner([]*Process{p}, accepted); name != "" {
 		t.Fatalf("owner of a connection of the test process is %q, want none", name)
 	}
-	inode := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr()))
+	inode := socketInode(endpointOf(accepted.RemoteAddr()), endpointOf(accepted.LocalAddr()))
 	socket := fmt.Sprintf("socket:[%d]", inode)
 	if inode == 0 || !hasSocketOpen(os.Getpid(), socket) || hasSocketOpen(p.PID(), socket) {
 		t.Fatalf("%s is not found, or not open in the test process only", socket)
@@ -289,8 +289,8 @@
 		t.Fatalf("inode of the other end is %d, want one that is set and different", other)
 	}
 	_ = dialed.Close()
-	_ = near.Close()
-	if inode := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr())); inode != 0 {
+	_ = accepted.Close()
+	if inode := socketInode(endpointOf(accepted.RemoteAddr()), endpointOf(accepted.LocalAddr())); inode != 0 {
 		t.Fatalf("closed connection has inode %d, want 0", inode)
 	}
 }
