--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -311,12 +311,12 @@
 		}
 		defer p.Stop(9)
 	}
-	near, err := listener.Accept()
+	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
-	if name := Owner([]*Process{other, dialer}, near); name != "dialer" {
+	defer accepted.Close()
+	if name := Owner([]*Process{other, dialer}, accepted); name != "dialer" {
 		t.Fatalf("owner is %q, want dialer", name)
 	}
 }
