--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -20,15 +20,15 @@
 	// ForgeHeartbeats sends heartbeats of an unknown sender that can be decoded only in part; RejectRequests makes
 	// workers reject requests and ask for backoff; DrainWorker makes a worker announce its shutdown in responses and
 	// then restarts it as a new incarnation; AdvertiseLimits makes workers advertise a request rate limit.
-	KillWorker        func(ctx context.Context, target int, length time.Duration)
-	OverloadTenant    func(ctx context.Context, target int, length time.Duration)
-	LowerLimit        func(ctx context.Context, target int, length time.Duration)
+	KillWorker        func(ctx context.Context, target int, duration time.Duration)
+	OverloadTenant    func(ctx context.Context, target int, duration time.Duration)
+	LowerLimit        func(ctx context.Context, target int, duration time.Duration)
 	ChangeSetting     func(ctx context.Context)
-	SendFatalRequests func(ctx context.Context, target int, length time.Duration)
-	ForgeHeartbeats   func(ctx context.Context, target int, length time.Duration)
-	RejectRequests    func(ctx context.Context, target int, length time.Duration)
-	DrainWorker       func(ctx context.Context, target int, length time.Duration)
-	AdvertiseLimits   func(ctx context.Context, target int, length time.Duration)
+	SendFatalRequests func(ctx context.Context, target int, duration time.Duration)
+	ForgeHeartbeats   func(ctx context.Context, target int, duration time.Duration)
+	RejectRequests    func(ctx context.Context, target int, duration time.Duration)
+	DrainWorker       func(ctx context.Context, target int, duration time.Duration)
+	AdvertiseLimits   func(ctx context.Context, target int, duration time.Duration)
 }
 
 // linkDelay is the delay that DelayLinks adds to each link.
