--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -68,7 +68,7 @@
 	limits            map[string][]TenantLimit   // by tenant, ascending; guarded by mu
 	violations        []Violation                // guarded by mu
 	outcomes          map[string]int             // number of responses by outcome; guarded by mu
-	served            []bool                     // whether each request sent after the recovery period was served; guarded by mu
+	served            []bool                     // whether each request sent when service had to be available was served; guarded by mu
 	expectRecovery    bool                       // the plan leaves time to recover; guarded by mu
 	fatalArrivals     map[string][]time.Duration // arrivals of each fatal request at workers, by its name; guarded by mu
 	quarantineReplies map[string]int             // number of responses that reported a fatal request as quarantined, by its name; guarded by mu
@@ -174,6 +174,7 @@
 // maxViolations bounds the recorded violations.
 const maxViolations = 200
 
+// addViolation records a violation unless there are maxViolations already. The caller holds mu.
 func (w *Watcher) addViolation(guarantee Guarantee, format string, values ...any) {
 	if len(w.violations) < maxViolations {
 		w.violations = append(w.violations, Violation{Guarantee: guarantee, Detail: fmt.Sprintf(format, values...)})
@@ -284,7 +285,7 @@
 }
 
 // allowed returns the highest limit that may apply in a window from a given time on. A lower limit applies only to
-// windows that begin after it was accepted.
+// windows that begin more than LimitSettleTime after it was accepted.
 func (w *Watcher) allowed(tenant string, from time.Duration) (float64, bool) {
 	highest, found := 0.0, false
 	limits := w.limits[tenant]
