--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -64,6 +64,7 @@
 	w.addSignal(id, &signal{incarnation: incarnation, draining: true})
 }
 
+// addSignal records a signal in a response to a request. It ignores requests that RecordSent did not record.
 func (w *Watcher) addSignal(id string, s *signal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
