--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -36,6 +36,7 @@
 	address [4]byte
 }
 
+// endpointOf returns the endpoint of a TCP address, or nil if it is not IPv4.
 func endpointOf(address net.Addr) *endpoint {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
