--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -34,7 +34,7 @@
 	Reload           Kind = "reload"         // SIGHUP to all processes, possibly during a graceful shutdown
 	FatalRequest     Kind = "deadly-request" // a repeated request that crashes each worker that runs it
 	RejectRequests   Kind = "shed-workers"   // workers reject all requests and ask callers to back off
-	DrainWorker      Kind = "leave-worker"   // a worker announces its shutdown in responses while its heartbeats report it as ready
+	DrainWorker      Kind = "leave-worker"   // a worker's responses announce its shutdown, its heartbeats do not
 	AdvertiseLimits  Kind = "need-workers"   // workers advertise a request rate limit in their responses
 	ForgedHeartbeats Kind = "forged-beats"   // an unknown sender sends heartbeats that can be decoded only in part
 )
--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -12,18 +12,30 @@
 
 // Guarantees that are checked.
 const (
-	WithinLimit              Guarantee = "limit"      // the running requests of a tenant stay within its limit, summed over all machines
-	AtMostOnce               Guarantee = "once"       // a request that must not be retried runs at most once
-	NotRunHonored            Guarantee = "not-run"    // a request reported as not executed is never executed
-	CorrectResponse          Guarantee = "answer"     // a successful response is the complete response to the caller's own request
-	ServiceRecovers          Guarantee = "back"       // requests are served again after the last fault has healed
-	NoUnexpectedExit         Guarantee = "own-end"    // processes exit only when told to, and in time
-	QuarantineEnforced       Guarantee = "held-back"  // a request that crashes workers reaches few more after the third; no other request is rejected as quarantined
-	BackoffRespected         Guarantee = "rest"       // a back end that asked a gateway for backoff gets at most two more requests from it during that time
-	DrainRespected           Guarantee = "leaving"    // a back end that announced draining in a response gets no new requests from processes that received it
-	AdvertisedLimitRespected Guarantee = "named"      // a back end that advertises a rate limit gets no more than that from all processes that received it together
-	ConfigDurable            Guarantee = "config"     // an acknowledged configuration is never lost, and no older one is served after it
-	ForgedHeartbeatsIgnored  Guarantee = "not-forged" // no request reaches a worker known only from forged heartbeats, and no forged heartbeat is acknowledged
+	// The running requests of a tenant stay within its limit, summed over all machines.
+	WithinLimit Guarantee = "limit"
+	// A request that must not be retried runs at most once.
+	AtMostOnce Guarantee = "once"
+	// A request reported as not executed is never executed.
+	NotRunHonored Guarantee = "not-run"
+	// A successful response is the complete response to the caller's own request.
+	CorrectResponse Guarantee = "answer"
+	// Requests are served again after the last fault has healed.
+	ServiceRecovers Guarantee = "back"
+	// Processes exit only when told to, and in time.
+	NoUnexpectedExit Guarantee = "own-end"
+	// A request that crashes workers reaches few more after the third; no other request is rejected as quarantined.
+	QuarantineEnforced Guarantee = "held-back"
+	// A back end that asked a gateway for backoff gets at most two more requests from it during that time.
+	BackoffRespected Guarantee = "rest"
+	// A back end that announced draining in a response gets no new requests from processes that received it.
+	DrainRespected Guarantee = "leaving"
+	// A back end that advertises a rate limit gets no more than that from all processes that received it together.
+	AdvertisedLimitRespected Guarantee = "named"
+	// An acknowledged configuration is never lost, and no older one is served after it.
+	ConfigDurable Guarantee = "config"
+	// No request reaches a worker known only from forged heartbeats, and no forged heartbeat is acknowledged.
+	ForgedHeartbeatsIgnored Guarantee = "not-forged"
 )
 
 // Guarantees lists all guarantees in a fixed order.
@@ -62,19 +74,23 @@
 	Window          time.Duration // length of the windows in which tenant limits are checked
 	LimitSettleTime time.Duration // how long after a new limit was accepted the previous one may still apply
 
-	mu                sync.Mutex
-	requests          map[string]*requestState   // by request ID; guarded by mu
-	executions        map[string][]execution     // by tenant; guarded by mu
-	limits            map[string][]TenantLimit   // by tenant, ascending; guarded by mu
-	violations        []Violation                // guarded by mu
-	outcomes          map[string]int             // number of responses by outcome; guarded by mu
-	served            []bool                     // whether each request sent when service had to be available was served; guarded by mu
-	expectRecovery    bool                       // the plan leaves time to recover; guarded by mu
-	fatalArrivals     map[string][]time.Duration // arrivals of each fatal request at workers, by its name; guarded by mu
-	quarantineReplies map[string]int             // number of responses that reported a fatal request as quarantined, by its name; guarded by mu
-	disturbances      []interval                 // periods of faults in the system's processes and links; guarded by mu
-	burstWindows      []interval                 // periods in which requests may be delayed; guarded by mu
-	signals           signalLog                  // guarded by mu
+	mu         sync.Mutex
+	requests   map[string]*requestState // by request ID; guarded by mu
+	executions map[string][]execution   // by tenant; guarded by mu
+	limits     map[string][]TenantLimit // by tenant, ascending; guarded by mu
+	violations []Violation              // guarded by mu
+	outcomes   map[string]int           // number of responses by outcome; guarded by mu
+	// Whether each request sent when service had to be available was served; guarded by mu.
+	served         []bool
+	expectRecovery bool // the plan leaves time to recover; guarded by mu
+	// Arrivals of each fatal request at workers, by its name; guarded by mu.
+	fatalArrivals map[string][]time.Duration
+	// Number of responses that reported a fatal request as quarantined, by its name; guarded by mu.
+	quarantineReplies map[string]int
+	// Periods of faults in the system's processes and links; guarded by mu.
+	disturbances []interval
+	burstWindows []interval // periods in which requests may be delayed; guarded by mu
+	signals      signalLog  // guarded by mu
 }
 
 // interval is a closed time interval.
