--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -1,5 +1,5 @@
-// Package account tells what a day of service lost, by cause, by moment and by mechanism: from a report that was made
-// outside, from the product's own log lines, or from both.
+// Package account breaks down what a simulated day of traffic lost by cause, time and mechanism. Its input is the report
+// of an external evaluator, the processes' log lines, or both.
 package account
 
 import (
@@ -10,28 +10,30 @@
 	"time"
 )
 
-// Day is what one played or lived day lost.
+// Day holds the losses of one day of traffic.
 type Day struct {
 	Name   string
-	Worth  float64 // what was earned of what was owed, less prices; of the reports only
+	Worth  float64 // fraction of the attainable worth that was earned, minus penalties; 0 without a report
 	Losses []Loss
 	LogSummary
-	// RecomputedTokens is how many tokens of shared parts were read again, by the report; 0 without one.
+	// RecomputedTokens is the reported number of shared prompt tokens that were prefilled again; 0 without a report.
 	RecomputedTokens float64
 }
 
-// Recompute tells of shared parts that a request's engine was expected to read, by the line of its answer.
+// Recompute is the shared prompt tokens that an engine was expected to prefill for a request, as the log line of its
+// response states it.
 type Recompute struct {
-	At     time.Duration // as Event tells it
+	At     time.Duration // relative to the same start as Event.At
 	Route  string
 	Cause  string
 	Tokens int
 }
 
-// CauseFirstUse is the cause of parts that nobody had read before: not again.
+// CauseFirstUse marks shared parts that were prefilled for the first time; they don't count as recomputed.
 const CauseFirstUse = "first"
 
-// RecomputedTokensBy returns the tokens a day of shared parts that were expected to be read again, by what a key makes of each.
+// RecomputedTokensBy returns the mean number of shared prompt tokens per day that were expected to be recomputed, grouped
+// by key.
 func RecomputedTokensBy(days []Day, key func(Recompute) string) []Row {
 	sums := map[string]float64{}
 	for _, d := range days {
@@ -44,40 +46,40 @@
 	return rows(sums, nil)
 }
 
-// Loss is worth that was lost to a cause, as a part of what was owed.
+// Loss is the worth lost to one cause, as a fraction of the attainable worth.
 type Loss struct {
 	Cause string
 	Worth float64
 }
 
-// Event is a request that was not served, or served late, or an attempt that failed, as a log line tells it.
+// Event is a log line of a request that was rejected, failed or late, or of an attempt that failed.
 type Event struct {
-	At        time.Duration // since the day's first line, or as the line says
+	At        time.Duration // since the first log line, or the time that precedes the line
 	Outcome   Outcome
-	Mechanism string // reason or cause, without names of this one request
-	Line      string // as it stands in the log
+	Mechanism string // reason or cause, without addresses and instance names
+	Line      string // unmodified log line
 }
 
-// Outcome tells what became of a request.
+// Outcome is the result of a request or an attempt.
 type Outcome string
 
 // Outcomes of requests and attempts.
 const (
-	Rejected      Outcome = "refused"        // the gateway answered itself
-	Failed        Outcome = "failed"         // the back end's answer was a failure
-	Late          Outcome = "late"           // served, not within the objective
-	AttemptFailed Outcome = "attempt failed" // an attempt; the request may have been served by another one
+	Rejected      Outcome = "refused"        // by the gateway
+	Failed        Outcome = "failed"         // the back end returned a server error
+	Late          Outcome = "late"           // served after its deadline
+	AttemptFailed Outcome = "attempt failed" // the request itself may have been served by another attempt
 )
 
-// Row is a line of a table.
+// Row is one row of a table.
 type Row struct {
 	Name  string
 	Value float64
-	Share float64 // of the sum of all rows
-	Line  string  // an example, or ""
+	Share float64 // fraction of the sum of all rows
+	Line  string  // example log line, or ""
 }
 
-// rows returns sums by name as rows, the greatest first.
+// rows converts sums by name to rows, in descending order of value.
 func rows(sums map[string]float64, examples map[string]string) []Row {
 	total := 0.0
 	for _, value := range sums {
@@ -95,7 +97,7 @@
 	return result
 }
 
-// ByCause returns the worth lost to each cause, the mean of the days.
+// ByCause returns the mean worth per day lost to each cause.
 func ByCause(days []Day) []Row {
 	sums := map[string]float64{}
 	for _, d := range days {
@@ -106,7 +108,8 @@
 	return rows(sums, nil)
 }
 
-// ByMechanism returns how many requests a day met each outcome by each mechanism, with the first line that shows it.
+// ByMechanism returns the mean number of events per day for each outcome and mechanism, with the first log line as an
+// example.
 func ByMechanism(days []Day) []Row {
 	sums, examples := map[string]float64{}, map[string]string{}
 	for _, d := range days {
@@ -121,13 +124,13 @@
 	return rows(sums, examples)
 }
 
-// Interval is a span of a day with the requests that were lost in it.
+// Interval counts the events of one stretch of the day.
 type Interval struct {
 	Start  time.Duration
-	Counts map[Outcome]float64 // a day
+	Counts map[Outcome]float64 // mean per day
 }
 
-// ByInterval returns the spans of a length, rising, without those where nothing was lost.
+// ByInterval divides the day into intervals of the given length and returns those with events, in order of time.
 func ByInterval(days []Day, length time.Duration) []Interval {
 	byStart := map[time.Duration]map[Outcome]float64{}
 	for _, d := range days {
@@ -146,13 +149,13 @@
 	return intervals
 }
 
-// DayComparison is a day that was played twice, by two states of the code.
+// DayComparison is the worth of the same day under two versions of the code.
 type DayComparison struct {
 	Name          string
-	Before, After float64 // worth
+	Before, After float64
 }
 
-// CompareDays returns the days of the same name in two sets.
+// CompareDays pairs the days that both sets contain, by name.
 func CompareDays(before, after []Day) []DayComparison {
 	var comparisons []DayComparison
 	for _, b := range before {
