--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -14,10 +14,10 @@
 	"kitetiller/internal/events"
 )
 
-// maxLineBytes bounds one line of a log; a longer one ends the reading with an error.
+// maxLineBytes limits the length of a log line; a longer one is an error.
 const maxLineBytes = 1 << 20
 
-// logLine is what of a log line is looked at.
+// logLine holds the fields of a log line that are evaluated.
 type logLine struct {
 	Time    time.Time `json:"time"`
 	Msg     string    `json:"msg"`
@@ -32,18 +32,18 @@
 	Why     string    `json:"reread_why"`
 }
 
-// perRequestNames are parts of a cause that differ from request to request: addresses and instances.
+// perRequestNames matches addresses and instance names, which would keep equal causes from being grouped.
 var perRequestNames = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+|\bi-[0-9a-f]+\b`)
 
-// LogSummary is what the lines of a log tell.
+// LogSummary is what was extracted from a log.
 type LogSummary struct {
 	Events         []Event
 	Recomputes     []Recompute
-	MalformedLines int // objects that can't be read: cut short, or of something else
+	MalformedLines int // lines with a "{" that aren't valid JSON objects
 }
 
-// ReadLines reads a day's log. Each line is an object as the processes write it, behind a time in seconds and
-// a process's name where the log was gathered from several. Other lines are passed over.
+// ReadLines reads a day's log. Each line is a JSON object as the processes write it. In a log collected from several
+// processes, the time in seconds and the process name precede the object. Lines without an object are skipped.
 func ReadLines(r io.Reader) (summary LogSummary, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -76,7 +76,7 @@
 	return summary, eris.Wrap(scanner.Err(), "read log")
 }
 
-// leadingSeconds reads the time in front of a gathered line.
+// leadingSeconds parses the time that precedes the JSON object in a collected log.
 func leadingSeconds(prefix string) (time.Duration, bool) {
 	fields := strings.Fields(prefix)
 	if len(fields) == 0 {
@@ -86,7 +86,7 @@
 	return time.Duration(seconds * float64(time.Second)), err == nil
 }
 
-// event returns what a line tells of a request that lost something.
+// event returns the loss that the line records, if any.
 func (l *logLine) event() (Event, bool) {
 	switch {
 	case l.Msg == events.RequestRejected:
