--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -16,13 +16,13 @@
 const (
 	plotWidth        = 22 * vg.Centimeter
 	plotHeight       = 11 * vg.Centimeter
-	maxExampleLength = 160 // of an example in a table
+	maxExampleLength = 160 // characters of an example log line
 )
 
-// outcomes in the order of tables and plots.
+// outcomes lists the outcomes in the order of table columns and plot lines.
 var outcomes = []Outcome{Rejected, Failed, Late, AttemptFailed}
 
-// Print writes the tables of a set of days.
+// Print writes the mean losses of the days as Markdown tables, with events grouped by intervals of the given length.
 func Print(w io.Writer, days []Day, length time.Duration) {
 	if causes := ByCause(days); len(causes) > 0 {
 		fmt.Fprintf(w, "| worth lost to | a day | share |\n|---|---|---|\n")
@@ -56,7 +56,7 @@
 	}
 }
 
-// printRecomputes writes the tables of shared parts that were read again.
+// printRecomputes writes the tables of recomputed shared prompt tokens.
 func printRecomputes(w io.Writer, days []Day, length time.Duration) {
 	causes := RecomputedTokensBy(days, func(r Recompute) string { return r.Cause })
 	reported, explained := 0.0, 0.0
@@ -92,7 +92,7 @@
 	}
 }
 
-// PrintComparisons writes what changed from one state of the code to another, day by day.
+// PrintComparisons writes a table of the worth of each day before and after a change.
 func PrintComparisons(w io.Writer, comparisons []DayComparison) {
 	fmt.Fprintf(w, "\n| day | before | after | difference |\n|---|---|---|---|\n")
 	sum := 0.0
@@ -105,7 +105,7 @@
 	}
 }
 
-// Plot draws the lost requests over the day to a file, whose ending names the format.
+// Plot draws the events of each outcome over the day. The extension of the file selects the format.
 func Plot(file string, days []Day, length time.Duration) error {
 	p := plot.New()
 	p.Title.Text = "requests lost, a day"
