--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -11,7 +11,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// sampleLog is gathered from two processes; the second half is as one process writes it.
+// sampleLog is a log collected from two processes, with a truncated line and a line without an object.
 const sampleLog = `  -0.5000 g1 {"level":"info","time":"2026-01-01T00:00:00Z","msg":"gateway started"}
    1.2500 g1 {"level":"info","time":"2026-01-01T00:00:01.75Z","msg":"request refused","request":"a","status":503,"reason":"no-backend"}
    1.9000 g2 {"level":"info","time":"2026-01-01T00:00:02.4Z","msg":"attempt failed","request":"b","result":"unreached","cause":"dial tcp 10.1.0.2:80: i/o timeout"}
@@ -26,11 +26,12 @@
 no object at all
 `
 
-// TestReadLinesExtractsLossesAndRecomputes: what was served in time is left out, causes lose their addresses, broken lines are counted.
+// TestReadLinesExtractsLossesAndRecomputes checks that requests served in time are left out, that addresses are removed
+// from causes and that malformed lines are counted.
 func TestReadLinesExtractsLossesAndRecomputes(t *testing.T) {
 	summary, err := ReadLines(strings.NewReader(sampleLog))
 	if err != nil || summary.MalformedLines != 1 {
-		t.Fatalf("%d broken lines, error %v", summary.MalformedLines, err)
+		t.Fatalf("got %d malformed lines, want 1; error %v", summary.MalformedLines, err)
 	}
 	days := []Day{{Name: "d", Worth: 0.5, LogSummary: summary, RecomputedTokens: 8000, Losses: []Loss{{"part a", 0.2}, {"price of b", 0.3}}}}
 	var out bytes.Buffer
@@ -39,7 +40,7 @@
 	goldie.New(t).Assert(t, "tables", out.Bytes())
 }
 
-// TestTimesOfSingleProcessLogAreRelativeToFirstLine: there is no time in front of them.
+// TestTimesOfSingleProcessLogAreRelativeToFirstLine covers logs whose lines have no preceding time.
 func TestTimesOfSingleProcessLogAreRelativeToFirstLine(t *testing.T) {
 	singleProcessLog := ""
 	for line := range strings.SplitSeq(sampleLog, "\n") {
@@ -53,7 +54,7 @@
 	}
 }
 
-// TestPlotWritesFile: also of a day without events.
+// TestPlotWritesFile includes a day without events.
 func TestPlotWritesFile(t *testing.T) {
 	summary, _ := ReadLines(strings.NewReader(sampleLog))
 	for name, days := range map[string][]Day{"some.svg": {{LogSummary: summary}}, "none.svg": {{}}} {
