--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -1,5 +1,5 @@
-// Package earlier builds the program of an earlier commit of this repository, to run it beside that of the work tree. Nothing in the work tree or
-// in its history changes.
+// Package earlier builds a program from an earlier commit of this repository, to run it next to the current one. It
+// changes neither the work tree nor the history.
 package earlier
 
 import (
@@ -14,17 +14,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrCommitNotFound says that a repository doesn't hold a commit: its history may have been cut off where it was cloned. A caller can tell it with
-// errors.Is.
-var ErrCommitNotFound = eris.New("this checkout's history doesn't hold the commit")
+// ErrCommitNotFound is returned, wrapped, when the repository doesn't contain the commit, as in a shallow clone.
+var ErrCommitNotFound = eris.New("commit not found in the history of this checkout")
 
 const (
 	folderMode  = 0o755
 	programMode = 0o755
 )
 
-// Build builds a package's program at a commit into a folder, and returns its path. A build that is there already is used again: a commit doesn't
-// change.
+// Build builds the main package pkg at a commit into a directory and returns the path of the program. A program that was
+// built before from the same commit is reused.
 func Build(ctx context.Context, repository, commit, pkg, folder string) (program string, err error) {
 	full, err := resolve(ctx, repository, commit)
 	if err != nil {
@@ -32,25 +31,25 @@
 	}
 	program, err = filepath.Abs(filepath.Join(folder, filepath.Base(pkg)+"-"+full))
 	if err != nil {
-		return "", eris.Wrap(err, "name the program")
+		return "", eris.Wrap(err, "resolve program path")
 	}
 	if _, err := os.Stat(program); err == nil {
 		return program, nil
 	}
 	source, err := os.MkdirTemp("", "kitetiller-earlier-")
 	if err != nil {
-		return "", eris.Wrap(err, "make a folder")
+		return "", eris.Wrap(err, "create directory")
 	}
 	defer os.RemoveAll(source)
 	archive, err := runCommand(ctx, repository, "git", "archive", "--format=zip", full)
 	if err != nil {
-		return "", eris.Wrapf(err, "read the files of %s", commit)
+		return "", eris.Wrapf(err, "export files of commit %s", commit)
 	}
 	if err := unpack(archive, source); err != nil {
 		return "", err
 	}
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return "", eris.Wrap(err, "make a folder")
+		return "", eris.Wrap(err, "create directory")
 	}
 	built := filepath.Join(source, "program")
 	if _, err := runCommand(ctx, source, "go", "build", "-o", built, "./"+pkg); err != nil {
@@ -59,19 +58,19 @@
 	return program, installAtomically(built, program)
 }
 
-// resolve returns the whole name of a commit.
+// resolve returns the full hash of a commit.
 func resolve(ctx context.Context, repository, commit string) (string, error) {
 	if commit == "" || strings.HasPrefix(commit, "-") {
-		return "", eris.Errorf("%q names no commit", commit)
+		return "", eris.Errorf("invalid commit %q", commit)
 	}
 	name, err := runCommand(ctx, repository, "git", "rev-parse", "--verify", "--quiet", commit+"^{commit}")
 	if err != nil {
-		return "", eris.Wrapf(ErrCommitNotFound, "%s (a shallow clone holds the newest ones only)", commit)
+		return "", eris.Wrapf(ErrCommitNotFound, "%s (a shallow clone contains only the newest commits)", commit)
 	}
 	return strings.TrimSpace(string(name)), nil
 }
 
-// runCommand runs a program and returns what it wrote, or an error with what it complained of.
+// runCommand runs a program and returns its standard output. The error includes its standard error.
 func runCommand(ctx context.Context, folder, name string, arguments ...string) ([]byte, error) {
 	command := exec.CommandContext(ctx, name, arguments...)
 	command.Dir = folder
@@ -81,34 +80,34 @@
 	return out, eris.Wrapf(err, "%s %s: %s", name, strings.Join(arguments, " "), strings.TrimSpace(stderr.String()))
 }
 
-// unpack writes the files of an archive into a folder.
+// unpack extracts a zip archive into a directory.
 func unpack(archive []byte, folder string) error {
 	reader, err := zip.NewReader(bytes.NewReader(archive), int64(len(archive)))
 	if err != nil {
-		return eris.Wrap(err, "read the archive")
+		return eris.Wrap(err, "open archive")
 	}
-	return eris.Wrap(os.CopyFS(folder, reader), "unpack the archive")
+	return eris.Wrap(os.CopyFS(folder, reader), "unpack archive")
 }
 
-// installAtomically moves a program to its place as a whole, so that nobody meets a part of one.
+// installAtomically copies a program to its final path by rename, so that concurrent builds never run a partial file.
 func installAtomically(built, program string) error {
 	data, err := os.ReadFile(built)
 	if err != nil {
-		return eris.Wrap(err, "read the program")
+		return eris.Wrap(err, "read built program")
 	}
 	temporary, err := os.CreateTemp(filepath.Dir(program), ".program-")
 	if err != nil {
-		return eris.Wrap(err, "write the program")
+		return eris.Wrap(err, "install program")
 	}
 	defer os.Remove(temporary.Name())
 	if _, err := temporary.Write(data); err != nil {
-		return eris.Wrap(err, "write the program")
+		return eris.Wrap(err, "install program")
 	}
 	if err := temporary.Close(); err != nil {
-		return eris.Wrap(err, "write the program")
+		return eris.Wrap(err, "install program")
 	}
 	if err := os.Chmod(temporary.Name(), programMode); err != nil {
-		return eris.Wrap(err, "write the program")
+		return eris.Wrap(err, "install program")
 	}
-	return eris.Wrap(os.Rename(temporary.Name(), program), "write the program")
+	return eris.Wrap(os.Rename(temporary.Name(), program), "install program")
 }
