--- a/internal/lab/earlier/earlier_test.go
+++ b/internal/lab/earlier/earlier_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// newRepository returns a repository with two commits of a program that says which one it is of.
+// newRepository creates a repository with two commits of a program that prints its commit's label. The work tree doesn't
+// build.
 func newRepository(t *testing.T) (folder string) {
 	t.Helper()
 	folder = t.TempDir()
@@ -41,34 +42,35 @@
 	return folder
 }
 
-// TestBuildUsesTheCommitAndNotTheWorkTree: as it was, beside a work tree that doesn't build.
+// TestBuildUsesTheCommitAndNotTheWorkTree builds each commit twice; the second build reuses the first one's program.
 func TestBuildUsesTheCommitAndNotTheWorkTree(t *testing.T) {
 	repository, programs := newRepository(t), t.TempDir()
 	for commit, want := range map[string]string{"HEAD~1": "first\n", "HEAD": "second\n"} {
-		for range 2 { // built, and used again
+		for range 2 {
 			program, err := Build(t.Context(), repository, commit, "cmd/tell", programs)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if output, err := exec.Command(program).CombinedOutput(); err != nil || string(output) != want {
-				t.Fatalf("%s says %q, %v", commit, output, err)
+				t.Fatalf("program of %s printed %q, error %v", commit, output, err)
 			}
 		}
 	}
 }
 
-// TestBuildErrors: a commit that isn't there, as in a shallow clone, a name that is none, and a package that isn't there.
+// TestBuildErrors covers a commit that doesn't exist, invalid commit names and a package that doesn't exist. A failed
+// build must leave no files.
 func TestBuildErrors(t *testing.T) {
 	repository, programs := newRepository(t), t.TempDir()
 	if _, err := Build(t.Context(), repository, "0123456789abcdef", "cmd/tell", programs); !errors.Is(err, ErrCommitNotFound) {
-		t.Fatalf("a commit that isn't there: %v", err)
+		t.Fatalf("build of unknown commit: error %v, want ErrCommitNotFound", err)
 	}
 	for _, arguments := range [][2]string{{"", "cmd/tell"}, {"--help", "cmd/tell"}, {"HEAD", "cmd/none"}} {
 		if _, err := Build(t.Context(), repository, arguments[0], arguments[1], programs); err == nil || errors.Is(err, ErrCommitNotFound) {
-			t.Fatalf("%v: %v", arguments, err)
+			t.Fatalf("build of %v: unexpected result %v", arguments, err)
 		}
 	}
 	if left, err := filepath.Glob(filepath.Join(programs, "*")); err != nil || len(left) > 0 {
-		t.Fatalf("left %v, %v", left, err)
+		t.Fatalf("files left after failed builds: %v, error %v", left, err)
 	}
 }
