--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -1,5 +1,5 @@
-// Package account breaks down what a simulated day of traffic lost by cause, time and mechanism. Its input is the report
-// of an external evaluator, the processes' log lines, or both.
+// Package account breaks down what a simulated day of traffic lost by cause, time and mechanism. Its input is the
+// report of an external evaluator, the processes' log lines, or both.
 package account
 
 import (
@@ -32,8 +32,8 @@
 // CauseFirstUse marks shared parts that were prefilled for the first time; they don't count as recomputed.
 const CauseFirstUse = "first"
 
-// RecomputedTokensBy returns the mean number of shared prompt tokens per day that were expected to be recomputed, grouped
-// by key.
+// RecomputedTokensBy returns the mean number of shared prompt tokens per day that were expected to be recomputed,
+// grouped by key.
 func RecomputedTokensBy(days []Day, key func(Recompute) string) []Row {
 	sums := map[string]float64{}
 	for _, d := range days {
