--- a/internal/lab/earlier/earlier.go
+++ b/internal/lab/earlier/earlier.go
@@ -22,8 +22,8 @@
 	programMode = 0o755
 )
 
-// Build builds the main package pkg at a commit into a directory and returns the path of the program. A program that was
-// built before from the same commit is reused.
+// Build builds the main package pkg at a commit into a directory and returns the path of the program. A program that
+// was built before from the same commit is reused.
 func Build(ctx context.Context, repository, commit, pkg, folder string) (program string, err error) {
 	full, err := resolve(ctx, repository, commit)
 	if err != nil {
