--- a/internal/lab/earlier/earlier_test.go
+++ b/internal/lab/earlier/earlier_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// newRepository creates a repository with two commits of a program that prints its commit's label. The work tree doesn't
-// build.
+// newRepository creates a repository with two commits of a program that prints its commit's label. The work tree
+// doesn't build.
 func newRepository(t *testing.T) (folder string) {
 	t.Helper()
 	folder = t.TempDir()
