--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet lays out a deployment on one machine: node files, data folders, ports and the command line of
-// each process. It starts nothing; scripts/fleet does.
+// Package fleet generates the files to run a deployment on one machine: node files, data directories, ports and the
+// command line of each process. scripts/fleet starts the processes.
 package fleet
 
 import (
@@ -24,7 +24,7 @@
 const (
 	loopback             = "127.0.0.1"
 	minPort              = 20000
-	maxPort              = 30000 // below the ephemeral ports that the kernel hands to clients
+	maxPort              = 30000 // below the ephemeral port range
 	maxPortAttempts      = 200
 	controlCount         = 3
 	filePermissions      = 0o600
@@ -39,13 +39,13 @@
 	Arguments []string
 }
 
-// Layout is a deployment laid out on this machine.
+// Layout describes a deployment on this machine.
 type Layout struct {
 	Routers         []string
 	Control         []string // admin addresses
-	Backends        []string // small services
+	Backends        []string // of the small service
 	Platform        string
-	Keys            []string // an API key of each tenant, in the deployment's order
+	Keys            []string // one API key per tenant, in the order of the deployment
 	AdminToken      string
 	Processes       []Process
 	deployment      *plan.Deployment
@@ -62,7 +62,8 @@
 	spareCount      int
 }
 
-// Create lays a deployment file out under a data folder.
+// Create generates the layout of a deployment file in a data directory, with spare control replicas beyond the
+// founding ones.
 func Create(file, data string, spares int) (*Layout, error) {
 	deployment, err := plan.Load(file)
 	if err != nil {
@@ -70,7 +71,7 @@
 	}
 	absolute, err := filepath.Abs(data)
 	if err != nil {
-		return nil, eris.Wrap(err, "resolve data folder")
+		return nil, eris.Wrap(err, "resolve data directory")
 	}
 	layout := &Layout{
 		deployment: deployment, deploymentFile: file, dataDir: absolute, AdminToken: randomHex(16), clusterToken: randomHex(16), prefixKey: randomHex(32),
@@ -89,7 +90,7 @@
 	return hex.EncodeToString(random)
 }
 
-// freePorts finds a run of ports that nothing listens on.
+// freePorts returns the first of count consecutive ports on which nothing listens.
 func freePorts(count int) (int, error) {
 	for range maxPortAttempts {
 		base := minPort + mathrand.IntN(maxPort-minPort-count)
@@ -97,7 +98,7 @@
 			return base, nil
 		}
 	}
-	return 0, eris.Errorf("no run of %d free ports found", count)
+	return 0, eris.Errorf("no %d consecutive free ports found", count)
 }
 
 func allFree(base, count int) bool {
@@ -111,7 +112,7 @@
 	return true
 }
 
-// allocateAddress hands out the next port in a zone.
+// allocateAddress returns an address with the next unused port and assigns it to a zone of the emulated network.
 func (l *Layout) allocateAddress(zone string) string {
 	address := fmt.Sprintf("%s:%d", loopback, l.nextPort)
 	l.nextPort++
@@ -123,7 +124,7 @@
 
 func (l *Layout) build() error {
 	if err := os.MkdirAll(l.dataDir, directoryPermissions); err != nil {
-		return eris.Wrap(err, "create data folder")
+		return eris.Wrap(err, "create data directory")
 	}
 	l.addStores()
 	l.addBackends()
@@ -223,7 +224,7 @@
 	return nil
 }
 
-// writeSettingsTree writes the deployment's tree with an API key for each tenant.
+// writeSettingsTree writes the deployment's settings tree with a generated API key for each tenant.
 func (l *Layout) writeSettingsTree() error {
 	data, err := os.ReadFile(l.deploymentFile)
 	if err != nil {
@@ -236,10 +237,10 @@
 		digest := sha256.Sum256([]byte(key))
 		text = addKeyDigest(text, tenant.Name, hex.EncodeToString(digest[:]))
 	}
-	return eris.Wrap(os.WriteFile(l.path("tree.yaml"), []byte(text), filePermissions), "write tree")
+	return eris.Wrap(os.WriteFile(l.path("tree.yaml"), []byte(text), filePermissions), "write settings tree")
 }
 
-// addKeyDigest puts a key digest into the one-line settings of a tenant.
+// addKeyDigest adds a key digest to a tenant, whose settings must be on one line.
 func addKeyDigest(text, tenant, digest string) string {
 	setting := fmt.Sprintf("api_key_sha256: [\"%s\"]", digest)
 	text = strings.Replace(text, tenant+": {settings: {", tenant+": {settings: {"+setting+", ", 1)
@@ -254,7 +255,7 @@
 	return eris.Wrapf(os.WriteFile(l.path(name), data, filePermissions), "write %s", name)
 }
 
-// WriteFiles writes the list of processes and the facts that scripts/fleet needs.
+// WriteFiles writes the process list and the shell variables that scripts/fleet reads.
 func (l *Layout) WriteFiles() error {
 	var processes strings.Builder
 	for _, process := range l.Processes {
@@ -270,5 +271,5 @@
 	environment := fmt.Sprintf("ROUTERS=%q\nCONTROL=%q\nBACKENDS=%q\nPLATFORM=%q\nAPI_KEY=%q\nAPI_KEY_2=%q\nADMIN_TOKEN=%q\nMODEL_SERVICE=%q\nSMALL_SERVICE=%q\n",
 		strings.Join(l.Routers, " "), strings.Join(l.Control, " "), strings.Join(l.Backends, " "), l.Platform,
 		l.Keys[0], l.Keys[min(1, len(l.Keys)-1)], l.AdminToken, l.deployment.Model.Name, l.deployment.Small.Name)
-	return eris.Wrap(os.WriteFile(l.path("fleet.env"), []byte(environment), filePermissions), "write facts")
+	return eris.Wrap(os.WriteFile(l.path("fleet.env"), []byte(environment), filePermissions), "write fleet.env")
 }
