--- a/internal/lab/fleet/pause_test.go
+++ b/internal/lab/fleet/pause_test.go
@@ -2,5 +2,5 @@
 
 import "time"
 
-// pause lets the fleet go on for a while. No test fails because something took longer.
+// pause waits between steps and polls. No test relies on anything finishing within one pause.
 func pause() { time.Sleep(700 * time.Millisecond) }
