--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -11,17 +11,17 @@
 	"testing"
 )
 
-// root is the repository's folder; the tests run its scripts and the programs in bin/.
+// root is the repository's root, whose scripts and programs in bin/ the tests run.
 const root = "../../.."
 
-// testFleet is a fleet of real processes on loopback.
+// testFleet is a fleet of processes on the loopback interface.
 type testFleet struct {
 	t           *testing.T
 	data        string
 	environment map[string]string
 }
 
-// startFleet brings a small deployment up. The programs must have been built, as "make test" does.
+// startFleet starts a small deployment. The programs must have been built, as "make test" does.
 func startFleet(t *testing.T) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, data: t.TempDir(), environment: map[string]string{}}
@@ -54,7 +54,7 @@
 	}
 }
 
-// runOperator runs an runOperator's command.
+// runOperator runs a command of the operator's client.
 func (f *testFleet) runOperator(arguments ...string) (string, error) {
 	command := exec.Command("bin/kitetiller", arguments...)
 	command.Dir = root
@@ -63,7 +63,7 @@
 	return string(output), err
 }
 
-// loadRun is traffic in the background.
+// loadRun is a load generator that runs in the background.
 type loadRun struct {
 	t       *testing.T
 	command *exec.Cmd
@@ -85,7 +85,7 @@
 	return l
 }
 
-// requireNoErrors demands that the load saw nothing lost, doubled, out of order or wrong.
+// requireNoErrors waits for the end of the load and fails if a response was lost, duplicated, out of order or wrong.
 func (l *loadRun) requireNoErrors() {
 	l.t.Helper()
 	if err := l.command.Wait(); err != nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestProcessFailures repeats the main failures with real processes, one after the other on one fleet.
+// TestProcessFailures runs the main failure scenarios one after the other on one fleet of processes.
 func TestProcessFailures(t *testing.T) {
 	f := startFleet(t)
 	t.Run("planned stop of a router costs nothing", f.plannedStop)
@@ -164,7 +164,7 @@
 
 var leaderPattern = regexp.MustCompile(`(?m)"leader": "(control-\d)"`)
 
-// waitForLeader returns the name of the leading control replica.
+// waitForLeader waits until a leader is known and returns its name.
 func (f *testFleet) waitForLeader() string {
 	f.t.Helper()
 	for range 100 {
@@ -178,8 +178,8 @@
 	return ""
 }
 
-// waitForMembers waits until a replica leads with a lease, and returns the waitForMembers as it sees them. Others may still name an
-// earlier leader that has just been restarted.
+// waitForMembers waits until a replica leads with a lease and returns its member list. Polling the status isn't enough:
+// other replicas may still report an earlier leader that has just been restarted.
 func (f *testFleet) waitForMembers() string {
 	f.t.Helper()
 	for range 100 {
@@ -188,7 +188,7 @@
 		}
 		pause()
 	}
-	f.t.Fatal("no replica leads")
+	f.t.Fatal("no leader answered the members command")
 	return ""
 }
 
@@ -216,21 +216,21 @@
 	f.requireInHistory(accepted)
 }
 
-// requireInHistory demands every accepted change in the history.
+// requireInHistory fails unless the settings history contains every accepted change.
 func (f *testFleet) requireInHistory(accepted map[string]string) {
 	f.t.Helper()
 	if len(accepted) == 0 {
-		f.t.Fatal("no change was accepted")
+		f.t.Fatal("no settings change was accepted")
 	}
 	output, err := f.runOperator("config", "history", "--output", "json")
 	if err != nil {
-		f.t.Fatalf("history: %v\n%s", err, output)
+		f.t.Fatalf("config history: %v\n%s", err, output)
 	}
 	var entries []struct {
 		OperationID string `json:"operation_id"`
 	}
 	if err := json.Unmarshal([]byte(output), &entries); err != nil {
-		f.t.Fatalf("history: %v\n%s", err, output)
+		f.t.Fatalf("decode config history: %v\n%s", err, output)
 	}
 	recorded := map[string]bool{}
 	for _, entry := range entries {
@@ -238,7 +238,7 @@
 	}
 	for id, output := range accepted {
 		if !recorded[id] {
-			f.t.Errorf("%s was accepted (%s) and is gone", id, strings.TrimSpace(output))
+			f.t.Errorf("operation %s was accepted (%s) but is missing from the history", id, strings.TrimSpace(output))
 		}
 	}
 }
@@ -276,7 +276,8 @@
 	l.requireNoErrors()
 }
 
-// weightsRollout changes the weights while requests run: no answer may be lost, and every engine must end with them.
+// weightsRollout changes the weights version under load: no response may be lost, and every engine must load the new
+// version.
 func (f *testFleet) weightsRollout(t *testing.T) {
 	f = f.forSubtest(t)
 	l := f.startLoad("weights")
@@ -293,12 +294,13 @@
 		pause()
 	}
 	output, _ := f.runOperator("status")
-	t.Fatalf("not every engine holds the new weights:\n%s", output)
+	t.Fatalf("not every engine loaded the new weights:\n%s", output)
 }
 
 var drainingPattern = regexp.MustCompile(`"state": "leaving"`)
 
-// drainingEngine marks an engine as leaving on the machine list; every router must see it so, and nothing is lost.
+// drainingEngine marks an engine as leaving in the machine list: every router must report that state and no response
+// may be lost.
 func (f *testFleet) drainingEngine(t *testing.T) {
 	f = f.forSubtest(t)
 	l := f.startLoad("leaving")
@@ -309,6 +311,6 @@
 		t.Fatalf("%v\n%s", err, output)
 	}
 	if seen := len(drainingPattern.FindAllString(output, -1)); seen != 3 {
-		t.Fatalf("%d of 3 routers see the engine as leaving", seen)
+		t.Fatalf("%d of 3 routers report the engine as leaving", seen)
 	}
 }
