--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -1,7 +1,7 @@
-// Package forms checks that what builds write for each other stays readable.
+// Package forms checks that the JSON encoding of stored and sent types stays compatible between builds.
 //
-// Each form that is stored or sent has a golden file with every field set, which shows a change of any name, and one of the build in production beside
-// it: this build must know each of its fields, and keep it when it writes the form again.
+// Each type has a golden file with every field set, which reveals renamed keys. A second golden file holds the encoding
+// of the build in production: the current build must decode each of its fields and preserve it when encoding again.
 package forms
 
 import (
@@ -18,16 +18,17 @@
 
 const (
 	fixtureDir = "testdata/forms"
-	// productionDir is where the forms lie that the build in productionDir writes.
+	// productionDir holds the golden files of the build in production.
 	productionDir = fixtureDir + "/production"
 	suffix        = ".golden"
-	// maxDepth bounds how deep values are filled that hold others of their own type.
+	// maxDepth limits the nesting of recursive types.
 	maxDepth = 12
-	// maxInteger bounds whole numbers, so that they fit every kind of them.
+	// maxInteger limits generated integers, so that they fit every integer type.
 	maxInteger = 99
 )
 
-// Check checks the form of a type under a name. The file of the build in production may be missing: it didn't know the form then.
+// Check compares the encoding of T with the golden file of the given name and with that of the build in production,
+// which is missing if that build doesn't have the type.
 func Check[T any](t *testing.T, name string) {
 	t.Helper()
 	var full T
@@ -35,7 +36,7 @@
 	CheckValue(t, name, &full)
 }
 
-// CheckValue is Check of a value that was made otherwise, since its fields can't be set from outside.
+// CheckValue is like Check for a given value, for types whose fields can't be set by reflection.
 func CheckValue[T any](t *testing.T, name string, full *T) {
 	t.Helper()
 	text := encode(t, full)
@@ -52,7 +53,7 @@
 	checkRoundTrip(t, name+" of the build in production", productionText, new(T))
 }
 
-// checkRoundTrip reads a form and checks that every field of it is checkRoundTrip and written again.
+// checkRoundTrip decodes text into a value and checks that every field is known and is encoded again unchanged.
 func checkRoundTrip(t *testing.T, name string, text []byte, into any) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -82,7 +83,8 @@
 	return append(text, '\n')
 }
 
-// firstDifference returns what of a JSON value another one lacks, or "".
+// firstDifference describes a part of a JSON value that is missing or different in another one, or returns "".
+// Additional map keys in other are ignored.
 func firstDifference(path string, value, other any) string {
 	switch typed := value.(type) {
 	case map[string]any:
@@ -90,7 +92,7 @@
 		for key, item := range typed {
 			otherItem, exists := otherMap[key]
 			if !exists {
-				return path + "/" + key + " is lost"
+				return path + "/" + key + " is missing"
 			}
 			if difference := firstDifference(path+"/"+key, item, otherItem); difference != "" {
 				return difference
@@ -100,7 +102,7 @@
 	case []any:
 		otherItems, _ := other.([]any)
 		if len(otherItems) != len(typed) {
-			return path + " has another length"
+			return path + " differs in length"
 		}
 		for i, item := range typed {
 			if difference := firstDifference(fmt.Sprint(path, "/", i), item, otherItems[i]); difference != "" {
@@ -110,12 +112,12 @@
 		return ""
 	}
 	if !reflect.DeepEqual(value, other) {
-		return fmt.Sprintf("%s was %v and is %v", path, value, other)
+		return fmt.Sprintf("%s: want %v, got %v", path, value, other)
 	}
 	return ""
 }
 
-// filler sets values, each another one.
+// filler sets fields to distinct non-zero values.
 type filler struct{ count int }
 
 var (
@@ -167,7 +169,8 @@
 	value.SetMapIndex(key, item)
 }
 
-// fillStruct sets the fields that are written. A type that writes itself and has nothing to set from outside stays as it is.
+// fillStruct sets the fields that are encoded. Types with only unexported fields, such as those with their own
+// marshaler, are left unchanged.
 func (f *filler) fillStruct(value reflect.Value, depth int) {
 	for i := range value.NumField() {
 		field := value.Type().Field(i)
