--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan reads the "lab" section of a deployment file: the sizes and rates that the stand-ins, the bench
-// and the local fleet reproduce. The rest of the file is the settings tree.
+// Package plan reads the simulation section ("lab") of a deployment file: the sizes and rates that the simulated back
+// ends, the benchmark and the local fleet use. The rest of the file is the settings tree.
 package plan
 
 import (
@@ -12,13 +12,13 @@
 	"kitetiller/internal/node"
 )
 
-// Deployment is one user's site.
+// Deployment describes a site to simulate.
 type Deployment struct {
 	Name          string        `yaml:"name"`
 	Region        string        `yaml:"region"`
 	Zones         []string      `yaml:"zones"`
-	ZoneLatency   time.Duration `yaml:"zone_latency"`   // one way, between zones
-	ClientLatency time.Duration `yaml:"client_latency"` // one way, to callers
+	ZoneLatency   time.Duration `yaml:"zone_latency"`   // one-way, between zones
+	ClientLatency time.Duration `yaml:"client_latency"` // one-way, to clients
 	Model         ModelService  `yaml:"model_service"`
 	Small         SmallService  `yaml:"small_service"`
 	Vault         Vault         `yaml:"vault"`
@@ -29,20 +29,20 @@
 	Traffic       Traffic       `yaml:"traffic"`
 }
 
-// ModelService is the service of model engines.
+// ModelService describes the service of inference engines.
 type ModelService struct {
 	Name    string `yaml:"name"`
 	Workers int    `yaml:"workers"`
 }
 
-// SmallService is the service of non-repeatable requests.
+// SmallService describes the service whose requests can't be retried.
 type SmallService struct {
 	Name    string        `yaml:"name"`
 	Workers int           `yaml:"workers"`
 	Time    time.Duration `yaml:"time"`
 }
 
-// Vault is the store of kept KV cache.
+// Vault describes the shared store of KV cache blocks.
 type Vault struct {
 	Name   string `yaml:"name"`
 	Blocks int    `yaml:"blocks"`
@@ -54,7 +54,7 @@
 	Concurrent int           `yaml:"concurrent"`
 }
 
-// EngineRates are the engine's speeds; zero fields take the stand-in's defaults.
+// EngineRates holds the performance of an engine; zero fields take the defaults of the simulated engine.
 type EngineRates struct {
 	PrefillTokens float64       `yaml:"prefill_tokens_per_s"`
 	ImportTokens  float64       `yaml:"import_tokens_per_s"`
@@ -74,16 +74,16 @@
 	Share float64 `yaml:"share"`
 }
 
-// Traffic describes the callers.
+// Traffic describes the clients' requests.
 type Traffic struct {
 	RequestsPerSecond   float64       `yaml:"requests_per_s"`
-	ShortShare          float64       `yaml:"short_share"` // share of quick questions
+	ShortShare          float64       `yaml:"short_share"` // fraction of short questions
 	PreambleTokens      int           `yaml:"preamble_tokens"`
 	Templates           int           `yaml:"templates"` // per tenant
 	TemplateTokens      int           `yaml:"template_tokens"`
-	DocumentTokens      int           `yaml:"document_tokens"` // mean; half to one and a half times this
+	DocumentTokens      int           `yaml:"document_tokens"` // mean; varies between 0.5 and 1.5 times this
 	QuestionsPerDoc     int           `yaml:"questions_per_document"`
-	QuestionGap         time.Duration `yaml:"question_gap"` // mean time between questions on one document
+	QuestionGap         time.Duration `yaml:"question_gap"` // mean time between questions about one document
 	QuestionTokens      int           `yaml:"question_tokens"`
 	ShortTokens         int           `yaml:"short_tokens"`
 	LongAnswerTokens    int           `yaml:"long_answer_tokens"`
@@ -93,14 +93,14 @@
 	LongDeadline        time.Duration `yaml:"long_deadline"`
 }
 
-// file is the whole deployment file; the tree is read by package settings.
+// file is the complete deployment file; package settings reads the settings tree.
 type file struct {
 	Lab      Deployment `yaml:"lab"`
 	Settings any        `yaml:"settings"`
 	Zones    any        `yaml:"zones"`
 }
 
-// Load reads the lab section of a deployment file.
+// Load reads the simulation section of a deployment file.
 func Load(path string) (*Deployment, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -108,11 +108,11 @@
 	}
 	var contents file
 	if problems, _ := node.Decode(data, &contents); len(problems) > 0 {
-		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(problems), node.FormatProblems(problems))
+		return nil, eris.Errorf("%s has %d problems:\n%s", path, len(problems), node.FormatProblems(problems))
 	}
 	deployment := &contents.Lab
 	if deployment.Name == "" || len(deployment.Zones) == 0 || len(deployment.Tenants) == 0 || deployment.Model.Workers < 1 {
-		return nil, eris.Errorf("%s has no complete lab section: name, zones, tenants and model_service are needed", path)
+		return nil, eris.Errorf("%s: incomplete lab section: name, zones, tenants and model_service are required", path)
 	}
 	return deployment, nil
 }
@@ -124,7 +124,7 @@
 	}
 }
 
-// Rates returns the engine's rates.
+// Rates returns the engine's performance with defaults applied.
 func (d *Deployment) Rates() engine.Rates {
 	rates := engine.DefaultRates()
 	override(&rates.PrefillTokens, d.Engine.PrefillTokens)
