--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic makes the two users' requests: long prompts with deeply nested shared prefixes, quick
-// questions, a few very hot templates, and shifts of what is hot.
+// Package traffic generates prompts for load tests: long documents with nested shared prefixes, short questions, and
+// templates whose popularity is skewed and shifts over time.
 package traffic
 
 import (
@@ -14,7 +14,7 @@
 	"kitetiller/internal/prefix"
 )
 
-// Prompt is one request of the model service.
+// Prompt is a request to the model service.
 type Prompt struct {
 	At        time.Duration
 	Zone      string
@@ -24,29 +24,29 @@
 	MaxTokens int
 }
 
-// Generator makes a fixed sequence of prompts from a seed.
+// Generator produces a deterministic sequence of prompts from a seed.
 type Generator struct {
 	deployment *plan.Deployment
 	random     *rand.Rand
 	now        time.Duration
 	rate       float64
 	tenants    []tenant
-	hotShifts  int // raised at each shift: other templates become hot
+	hotShifts  int // number of shifts of the hot templates so far
 	followUps  []followUp
 	documents  int
-	dayLength  time.Duration // length of a day when demand follows the sun; 0 is none
+	dayLength  time.Duration // period of the daily demand cycle; 0 disables it
 }
 
-// tenant is the state of one tenant's callers.
+// tenant is the state of one tenant's traffic.
 type tenant struct {
 	name          string
 	zone          string
 	share         float64
 	preamble      string
-	templateTexts map[int]string // template texts
+	templateTexts map[int]string // by template number
 }
 
-// followUp is a later question about a document that was asked about before.
+// followUp is a scheduled further question about a document.
 type followUp struct {
 	at        time.Duration
 	prompt    Prompt
@@ -70,7 +70,8 @@
 	return g
 }
 
-// fillerText returns text of a length in tokens that is unlike any other text with another label.
+// fillerText returns text of the given length in tokens. Texts with different labels differ within the
+// first line.
 func fillerText(label string, tokens int) string {
 	size := tokens * prefix.BytesPerToken
 	var text strings.Builder
@@ -80,14 +81,14 @@
 	return text.String()[:size]
 }
 
-// ShiftHotTemplates makes other templates hot, as at the start of transcript season or a shift change.
+// ShiftHotTemplates replaces all templates by new ones, as at the start of a season or a change of shift.
 func (g *Generator) ShiftHotTemplates() { g.hotShifts++ }
 
-// FollowSun makes demand move from zone to zone once in a day of the given length: a zone has its whole demand at
+// FollowSun enables a daily demand cycle of the given length, shifted from zone to zone: a zone has its full demand at
 // noon and none at midnight.
 func (g *Generator) FollowSun(day time.Duration) { g.dayLength = day }
 
-// demandFactor is the share of a zone's demand at the present time.
+// demandFactor returns the fraction of a zone's full demand at the current time.
 func (g *Generator) demandFactor(zone string) float64 {
 	if g.dayLength == 0 {
 		return 1
@@ -109,7 +110,7 @@
 	return g.initialPrompt()
 }
 
-// initialRequestRate is the rate of requests that are not follow-ups, so that the total is the wanted rate.
+// initialRequestRate returns the rate of requests other than follow-ups at which the total rate is the configured one.
 func (g *Generator) initialRequestRate() float64 {
 	traffic := g.deployment.Traffic
 	requestsPerInitial := 1 + (1-traffic.ShortShare)*float64(max(0, traffic.QuestionsPerDoc-1))
@@ -136,7 +137,7 @@
 	return prompt, true
 }
 
-// scheduleFollowUp schedules the next question about a document.
+// scheduleFollowUp schedules the next question about a document, unless none remain.
 func (g *Generator) scheduleFollowUp(prompt Prompt, documentPrefix string, after time.Duration, remaining int) {
 	if remaining <= 0 {
 		return
@@ -166,7 +167,7 @@
 	return prompt
 }
 
-// jittered returns a number between half and one and a half times the mean.
+// jittered returns a random number from half to one and a half times the mean, at least 1.
 func (g *Generator) jittered(mean int) int {
 	return max(1, mean/2+g.random.IntN(max(1, mean)))
 }
@@ -194,7 +195,7 @@
 	return &g.tenants[len(g.tenants)-1]
 }
 
-// pickTemplate draws by Zipf's law; a shift rotates which templates are hot.
+// pickTemplate draws a template number by Zipf's law. Each shift of the hot templates starts a new range of numbers.
 func (g *Generator) pickTemplate() int {
 	count := g.deployment.Traffic.Templates
 	total := 0.0
