--- a/internal/lab/vtime/vtime.go
+++ b/internal/lab/vtime/vtime.go
@@ -1,4 +1,4 @@
-// Package vtime is virtual time: a queue of things that happen at times, in a fixed order.
+// Package vtime provides a virtual clock for simulations: scheduled functions run in a deterministic order.
 package vtime
 
 import (
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function scheduled for a point in time.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	run      func()
 }
 
-// eventHeap is a heap by time, then by order of scheduling; it implements heap.Interface.
+// eventHeap orders events by time, then by order of scheduling. It implements heap.Interface.
 type eventHeap []event
 
 func (q eventHeap) Len() int { return len(q) }
@@ -25,10 +25,10 @@
 }
 func (q eventHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push adds an item; use heap.Push.
+// Push implements heap.Interface; use heap.Push.
 func (q *eventHeap) Push(e any) { *q = append(*q, e.(event)) }
 
-// Pop removes the last item; use heap.Pop.
+// Pop implements heap.Interface; use heap.Pop.
 func (q *eventHeap) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -37,7 +37,7 @@
 	return last
 }
 
-// Clock is a virtual clock with its queue. The zero value stands at 0 with nothing to do.
+// Clock is a virtual clock with a queue of events. The zero value is at time 0 with an empty queue.
 type Clock struct {
 	now          time.Duration
 	queue        eventHeap
@@ -47,13 +47,13 @@
 // Now returns the virtual time.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// After schedules something; a negative delay counts as none.
+// After schedules a function to run after a delay. A negative delay counts as zero.
 func (c *Clock) After(delay time.Duration, run func()) {
 	c.lastSequence++
 	heap.Push(&c.queue, event{at: c.now + max(0, delay), sequence: c.lastSequence, run: run})
 }
 
-// Step runs the next thing that is due by the end. It returns false when there is none.
+// Step runs the next event if it is due by end and advances the clock to it. It returns false if there is none.
 func (c *Clock) Step(end time.Duration) bool {
 	if len(c.queue) == 0 || c.queue[0].at > end {
 		return false
@@ -64,16 +64,16 @@
 	return true
 }
 
-// Set moves the time forward when nothing is due.
+// Set advances the clock without running events. It never moves the clock back.
 func (c *Clock) Set(now time.Duration) { c.now = max(c.now, now) }
 
-// Alarm wakes something once, at the earliest time it was set to. The zero value is not set.
+// Alarm fires once, at the earliest time it was set to. The zero value is not set.
 type Alarm struct {
 	at time.Duration
 }
 
-// Set asks for ring at due, but not sooner than soonest from now; it does nothing when the alarm rings by then
-// already. after schedules, as Clock.After does.
+// Set schedules fire at due, but at least minDelay from now. It does nothing if the alarm is already pending at due
+// or earlier. The after function schedules like Clock.After.
 func (a *Alarm) Set(now, due, minDelay time.Duration, after func(time.Duration, func()), fire func()) {
 	if a.at > now && a.at <= due {
 		return
@@ -81,7 +81,7 @@
 	at := max(due, now+minDelay)
 	a.at = at
 	after(at-now, func() {
-		if a.at == at { // otherwise it was set to an earlier time, or belongs to an earlier life
+		if a.at == at { // otherwise the alarm has been set to another time since
 			fire()
 		}
 	})
