--- a/internal/lab/window/window.go
+++ b/internal/lab/window/window.go
@@ -1,4 +1,4 @@
-// Package window judges how many requests came in any stretch of time, against what a back end says that it takes.
+// Package window checks request counts in sliding time windows against a rate limit that a back end advertises.
 package window
 
 import (
@@ -7,21 +7,24 @@
 )
 
 const (
-	// Length is that of a window. In any of them a back end that names a limit may get factor times what this allows, and slack more.
+	// Length is the length of a window. A back end may receive up to rateFactor times its limit plus extraRequests in any
+	// window.
 	Length        = 4 * time.Second
 	rateFactor    = 1.5
 	extraRequests = 5
 )
 
-// Allowed returns how many requests may come in any window under a limit, in requests a second.
+// Allowed returns the maximum number of requests in any window under a limit in requests per second.
 func Allowed(limit float64) float64 { return rateFactor*limit*Length.Seconds() + extraRequests }
 
-// Add adds a time, not before the others, and drops those that lie in no window with it.
+// Add appends a time, which must not be earlier than the others, and drops times outside of the window that ends
+// with it.
 func Add(times []time.Duration, at time.Duration) []time.Duration {
 	return append(slices.DeleteFunc(times, func(before time.Duration) bool { return before <= at-Length }), at)
 }
 
-// MaxCount returns how many of the times, which rise, lie in the fullest of the windows that end at a time or later.
+// MaxCount returns the highest number of times in any window that ends at one of the times, at from or later. The times
+// must be in ascending order.
 func MaxCount(times []time.Duration, from time.Duration) (maxCount int) {
 	first := 0
 	for i, end := range times {
