--- a/internal/lab/window/window_test.go
+++ b/internal/lab/window/window_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMaxCountMatchesCountOfEachWindow: against a count of every window by itself, and against windows that are kept as times come in.
+// TestMaxCountMatchesCountOfEachWindow compares MaxCount with a separate count of every window and with windows that
+// Add maintains incrementally.
 func TestMaxCountMatchesCountOfEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := rapid.SliceOf(rapid.Custom(func(t *rapid.T) time.Duration {
@@ -32,7 +33,7 @@
 			want, incremental = max(want, count), max(incremental, len(recent))
 		}
 		if got := MaxCount(times, from); got != want || incremental != want {
-			t.Fatalf("%d, kept %d, wanted %d of %v from %v", got, incremental, want, times, from)
+			t.Fatalf("MaxCount is %d, incremental count %d, want %d for times %v from %v", got, incremental, want, times, from)
 		}
 	})
 }
