--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -135,11 +135,11 @@
 	byStart := map[time.Duration]map[Outcome]float64{}
 	for _, d := range days {
 		for _, e := range d.Events {
-			from := e.At.Truncate(length)
-			if byStart[from] == nil {
-				byStart[from] = map[Outcome]float64{}
+			start := e.At.Truncate(length)
+			if byStart[start] == nil {
+				byStart[start] = map[Outcome]float64{}
 			}
-			byStart[from][e.Outcome] += 1 / float64(len(days))
+			byStart[start][e.Outcome] += 1 / float64(len(days))
 		}
 	}
 	var intervals []Interval
