--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -143,8 +143,8 @@
 		}
 	}
 	var intervals []Interval
-	for _, from := range slices.Sorted(maps.Keys(byStart)) {
-		intervals = append(intervals, Interval{Start: from, Counts: byStart[from]})
+	for _, start := range slices.Sorted(maps.Keys(byStart)) {
+		intervals = append(intervals, Interval{Start: start, Counts: byStart[start]})
 	}
 	return intervals
 }
