--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -19,17 +19,17 @@
 
 // logLine holds the fields of a log line that are evaluated.
 type logLine struct {
-	Time    time.Time `json:"time"`
-	Msg     string    `json:"msg"`
-	Reason  string    `json:"reason"`
-	Cause   string    `json:"cause"`
-	Result  string    `json:"result"`
-	Status  int       `json:"status"`
-	Late    bool      `json:"late"`
-	Request string    `json:"request"`
-	Route   string    `json:"route"`
-	Reread  int       `json:"reread"`
-	Why     string    `json:"reread_why"`
+	Time             time.Time `json:"time"`
+	Msg              string    `json:"msg"`
+	Reason           string    `json:"reason"`
+	Cause            string    `json:"cause"`
+	Result           string    `json:"result"`
+	Status           int       `json:"status"`
+	Late             bool      `json:"late"`
+	Request          string    `json:"request"`
+	Route            string    `json:"route"`
+	RecomputedTokens int       `json:"reread"`
+	Why              string    `json:"reread_why"`
 }
 
 // perRequestNames matches addresses and instance names, which would keep equal causes from being grouped.
@@ -65,8 +65,8 @@
 		if seconds, ok := leadingSeconds(prefix); ok {
 			at = seconds
 		}
-		if line.Reread > 0 && line.Msg == events.RequestAnswered {
-			summary.Recomputes = append(summary.Recomputes, Recompute{At: at, Route: line.Route, Cause: line.Why, Tokens: line.Reread})
+		if line.RecomputedTokens > 0 && line.Msg == events.RequestAnswered {
+			summary.Recomputes = append(summary.Recomputes, Recompute{At: at, Route: line.Route, Cause: line.Why, Tokens: line.RecomputedTokens})
 		}
 		if event, lost := line.event(); lost {
 			event.At, event.Line = at, scanner.Text()
