--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -29,7 +29,7 @@
 	Request          string    `json:"request"`
 	Route            string    `json:"route"`
 	RecomputedTokens int       `json:"reread"`
-	Why              string    `json:"reread_why"`
+	RecomputeCause   string    `json:"reread_why"`
 }
 
 // perRequestNames matches addresses and instance names, which would keep equal causes from being grouped.
@@ -66,7 +66,7 @@
 			at = seconds
 		}
 		if line.RecomputedTokens > 0 && line.Msg == events.RequestAnswered {
-			summary.Recomputes = append(summary.Recomputes, Recompute{At: at, Route: line.Route, Cause: line.Why, Tokens: line.RecomputedTokens})
+			summary.Recomputes = append(summary.Recomputes, Recompute{At: at, Route: line.Route, Cause: line.RecomputeCause, Tokens: line.RecomputedTokens})
 		}
 		if event, lost := line.event(); lost {
 			event.At, event.Line = at, scanner.Text()
