--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -47,10 +47,10 @@
 		return
 	}
 	fmt.Fprintf(w, "\n| from second | refused | failed | late | attempts failed |\n|---|---|---|---|---|\n")
-	for _, m := range intervals {
-		fmt.Fprintf(w, "| %g |", m.Start.Seconds())
+	for _, interval := range intervals {
+		fmt.Fprintf(w, "| %g |", interval.Start.Seconds())
 		for _, o := range outcomes {
-			fmt.Fprintf(w, " %.1f |", m.Counts[o])
+			fmt.Fprintf(w, " %.1f |", interval.Counts[o])
 		}
 		fmt.Fprintln(w)
 	}
