--- a/internal/lab/account/account_test.go
+++ b/internal/lab/account/account_test.go
@@ -48,9 +48,9 @@
 			singleProcessLog += line[at:] + "\n"
 		}
 	}
-	lines, err := ReadLines(strings.NewReader(singleProcessLog))
-	if events := lines.Events; err != nil || len(events) == 0 || events[0].At != 1750*time.Millisecond {
-		t.Fatalf("events %+v, error %v", lines.Events, err)
+	summary, err := ReadLines(strings.NewReader(singleProcessLog))
+	if events := summary.Events; err != nil || len(events) == 0 || events[0].At != 1750*time.Millisecond {
+		t.Fatalf("events %+v, error %v", summary.Events, err)
 	}
 }
 
