--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -17,19 +17,19 @@
 // testFleet is a fleet of processes on the loopback interface.
 type testFleet struct {
 	t           *testing.T
-	data        string
+	dataDir     string
 	environment map[string]string
 }
 
 // startFleet starts a small deployment. The programs must have been built, as "make test" does.
 func startFleet(t *testing.T) *testFleet {
 	t.Helper()
-	f := &testFleet{t: t, data: t.TempDir(), environment: map[string]string{}}
+	f := &testFleet{t: t, dataDir: t.TempDir(), environment: map[string]string{}}
 	t.Cleanup(func() { _, _ = f.runScript("stop") })
 	if output, err := f.runScript("start", "internal/lab/fleet/testdata/small.yaml"); err != nil {
 		t.Fatalf("fleet did not start: %v\n%s", err, output)
 	}
-	text, err := os.ReadFile(filepath.Join(f.data, "fleet.env"))
+	text, err := os.ReadFile(filepath.Join(f.dataDir, "fleet.env"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 }
 
 func (f *testFleet) runScript(arguments ...string) (string, error) {
-	command := exec.Command("scripts/fleet", append(arguments, "--data", f.data)...)
+	command := exec.Command("scripts/fleet", append(arguments, "--data", f.dataDir)...)
 	command.Dir = root
 	output, err := command.CombinedOutput()
 	return string(output), err
@@ -109,7 +109,7 @@
 }
 
 func (f *testFleet) forSubtest(t *testing.T) *testFleet {
-	return &testFleet{t: t, data: f.data, environment: f.environment}
+	return &testFleet{t: t, dataDir: f.dataDir, environment: f.environment}
 }
 
 func (f *testFleet) plannedStop(t *testing.T) {
