--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -202,9 +202,9 @@
 	for rank := 1; rank <= count; rank++ {
 		total += math.Pow(float64(rank), -g.deployment.Traffic.ZipfExponent)
 	}
-	at := g.random.Float64() * total
+	draw := g.random.Float64() * total
 	for rank := 1; rank <= count; rank++ {
-		if at -= math.Pow(float64(rank), -g.deployment.Traffic.ZipfExponent); at < 0 {
+		if draw -= math.Pow(float64(rank), -g.deployment.Traffic.ZipfExponent); draw < 0 {
 			return rank + g.hotShifts*count
 		}
 	}
