--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -54,11 +54,11 @@
 }
 
 // checkRoundTrip decodes text into a value and checks that every field is known and is encoded again unchanged.
-func checkRoundTrip(t *testing.T, name string, text []byte, into any) {
+func checkRoundTrip(t *testing.T, name string, text []byte, decoded any) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(decoded); err != nil {
 		t.Errorf("%s: %v", name, err)
 		return
 	}
@@ -66,7 +66,7 @@
 	if err := json.Unmarshal(text, &before); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(encode(t, into), &after); err != nil {
+	if err := json.Unmarshal(encode(t, decoded), &after); err != nil {
 		t.Fatal(err)
 	}
 	if difference := firstDifference("", before, after); difference != "" {
