--- a/internal/lab/earlier/earlier_test.go
+++ b/internal/lab/earlier/earlier_test.go
@@ -67,7 +67,7 @@
 	}
 	for _, arguments := range [][2]string{{"", "cmd/tell"}, {"--help", "cmd/tell"}, {"HEAD", "cmd/none"}} {
 		if _, err := Build(t.Context(), repository, arguments[0], arguments[1], programs); err == nil || errors.Is(err, ErrCommitNotFound) {
-			t.Fatalf("build of %v: unexpected result %v", arguments, err)
+			t.Fatalf("build of %v: got error %v, want another one than ErrCommitNotFound", arguments, err)
 		}
 	}
 	if left, err := filepath.Glob(filepath.Join(programs, "*")); err != nil || len(left) > 0 {
