--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -88,7 +88,7 @@
 	ShortTokens         int           `yaml:"short_tokens"`
 	LongAnswerTokens    int           `yaml:"long_answer_tokens"`
 	ShortAnswerTokens   int           `yaml:"short_answer_tokens"`
-	ZipfExponent        float64       `yaml:"hot_exponent"` // Zipf exponent over templates
+	ZipfExponent        float64       `yaml:"hot_exponent"` // of the Zipf distribution of template popularity
 	InteractiveDeadline time.Duration `yaml:"interactive_deadline"`
 	LongDeadline        time.Duration `yaml:"long_deadline"`
 }
