--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -70,8 +70,8 @@
 	return g
 }
 
-// fillerText returns text of the given length in tokens. Texts with different labels differ within the
-// first line.
+// fillerText returns text of the given length in tokens. Texts with different labels differ within the first
+// line.
 func fillerText(label string, tokens int) string {
 	size := tokens * prefix.BytesPerToken
 	var text strings.Builder
