--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -114,8 +114,8 @@
 	intervals := ByInterval(days, length)
 	for i, o := range outcomes {
 		var points plotter.XYs
-		for _, m := range intervals {
-			points = append(points, plotter.XY{X: m.Start.Seconds(), Y: m.Counts[o]})
+		for _, interval := range intervals {
+			points = append(points, plotter.XY{X: interval.Start.Seconds(), Y: interval.Counts[o]})
 		}
 		if len(points) == 0 {
 			continue
