--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -96,9 +96,9 @@
 func PrintComparisons(w io.Writer, comparisons []DayComparison) {
 	fmt.Fprintf(w, "\n| day | before | after | difference |\n|---|---|---|---|\n")
 	sum := 0.0
-	for _, p := range comparisons {
-		sum += p.After - p.Before
-		fmt.Fprintf(w, "| %s | %.4f | %.4f | %+.4f |\n", p.Name, p.Before, p.After, p.After-p.Before)
+	for _, c := range comparisons {
+		sum += c.After - c.Before
+		fmt.Fprintf(w, "| %s | %.4f | %.4f | %+.4f |\n", c.Name, c.Before, c.After, c.After-c.Before)
 	}
 	if len(comparisons) > 0 {
 		fmt.Fprintf(w, "| mean of %d | | | %+.4f |\n", len(comparisons), sum/float64(len(comparisons)))
