--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -37,9 +37,9 @@
 
 // SmallService describes the service whose requests can't be retried.
 type SmallService struct {
-	Name    string        `yaml:"name"`
-	Workers int           `yaml:"workers"`
-	Time    time.Duration `yaml:"time"`
+	Name        string        `yaml:"name"`
+	Workers     int           `yaml:"workers"`
+	ServiceTime time.Duration `yaml:"time"`
 }
 
 // Vault describes the shared store of KV cache blocks.
