--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -50,8 +50,8 @@
 
 // Weights describes the weight store.
 type Weights struct {
-	LoadTime   time.Duration `yaml:"load_time"`
-	Concurrent int           `yaml:"concurrent"`
+	LoadTime      time.Duration `yaml:"load_time"`
+	MaxConcurrent int           `yaml:"concurrent"`
 }
 
 // EngineRates holds the performance of an engine; zero fields take the defaults of the simulated engine.
