--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -182,7 +182,7 @@
 	}
 	for i := range total {
 		name, zone := fmt.Sprintf("control-%d", i+1), l.zoneOf(i)
-		text := l.nodeHeader(name, zone) + fmt.Sprintf("control:\n  internal: %s\n  admin: %s\n  founders: [%s]\n  platform: %s\n  repair_after: 5s\n",
+		text := l.commonNodeSettings(name, zone) + fmt.Sprintf("control:\n  internal: %s\n  admin: %s\n  founders: [%s]\n  platform: %s\n  repair_after: 5s\n",
 			l.controlInternal[i], admin[i], strings.Join(l.controlInternal[:controlCount], ", "), l.Platform)
 		if err := l.addNode(name, zone, "control", text); err != nil {
 			return err
@@ -196,7 +196,7 @@
 	for i, zone := range l.deployment.Zones {
 		name, listen := fmt.Sprintf("router-%d", i+1), l.allocateAddress(zone)
 		l.Routers = append(l.Routers, listen)
-		text := l.nodeHeader(name, zone) + fmt.Sprintf("router:\n  listen: %s\n  internal: %s\n  control: [%s]\n  platform: %s\n  vault: %s\n  prefix_key: %s\n  import_tokens_per_s: %.0f\n  zone_latency:\n",
+		text := l.commonNodeSettings(name, zone) + fmt.Sprintf("router:\n  listen: %s\n  internal: %s\n  control: [%s]\n  platform: %s\n  vault: %s\n  prefix_key: %s\n  import_tokens_per_s: %.0f\n  zone_latency:\n",
 			listen, l.allocateAddress(zone), strings.Join(l.controlInternal[:controlCount], ", "), l.Platform, l.vaultAddress, l.prefixKey, l.deployment.Rates().ImportTokens)
 		for _, other := range l.deployment.Zones {
 			if other != zone {
@@ -210,7 +210,7 @@
 	return nil
 }
 
-func (l *Layout) nodeHeader(name, zone string) string {
+func (l *Layout) commonNodeSettings(name, zone string) string {
 	return fmt.Sprintf("name: %s\nzone: %s\ndata: %s\ncluster_token: %s\nadmin_token: %s\nlinks: %s\n",
 		name, zone, l.path(name), l.clusterToken, l.AdminToken, l.path("links.json"))
 }
