--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -43,7 +43,7 @@
 				}
 				m.Apply(Command{Deregister: ParseInstanceID(instance.ID).Name})
 			case "order":
-				m.Apply(Command{WeightsCommandTargets: []string{instance.ID}})
+				m.Apply(Command{WeightsOrderTargets: []string{instance.ID}})
 			}
 			checkInvariants(t, m, departed)
 		}
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -35,20 +35,20 @@
 // Command is a change of the replicated state. Exactly one field is set besides UnixMS; AddGateways and RemoveGateways
 // may be set together.
 type Command struct {
-	Replace               *Document         `json:"replace,omitempty"`
-	Register              *Instance         `json:"register,omitempty"`
-	RegisterBatch         []Instance        `json:"joined,omitempty"`  // registered in this order
-	Drain                 string            `json:"drain,omitempty"`   // instance id
-	Deregister            string            `json:"remove,omitempty"`  // id of an instance that announced that it leaves
-	Expire                string            `json:"forget,omitempty"`  // id of an instance without heartbeats; may register again
-	PublishWeights        *WeightsVersion   `json:"version,omitempty"` // new version of a model's weights
-	Fence                 bool              `json:"fence,omitempty"`   // issue a new fencing token
-	Loaded                []LoadedWeights   `json:"held,omitempty"`    // weights that instances reported as loaded
-	WeightsCommandTargets []string          `json:"order,omitempty"`   // ids of instances about to be sent weights commands
-	ReplaceGateways       []string          `json:"gates,omitempty"`   // all gateways that poll the leader
-	MaxHashWeights        map[string]uint64 `json:"bounds,omitempty"`  // by service: highest hash weight in use
-	AddGateways           []string          `json:"came,omitempty"`    // gateways that started to poll the leader
-	RemoveGateways        []string          `json:"left,omitempty"`    // gateways that stopped polling the leader
+	Replace             *Document         `json:"replace,omitempty"`
+	Register            *Instance         `json:"register,omitempty"`
+	RegisterBatch       []Instance        `json:"joined,omitempty"`  // registered in this order
+	Drain               string            `json:"drain,omitempty"`   // instance id
+	Deregister          string            `json:"remove,omitempty"`  // id of an instance that announced that it leaves
+	Expire              string            `json:"forget,omitempty"`  // id of an instance without heartbeats; may register again
+	PublishWeights      *WeightsVersion   `json:"version,omitempty"` // new version of a model's weights
+	Fence               bool              `json:"fence,omitempty"`   // issue a new fencing token
+	Loaded              []LoadedWeights   `json:"held,omitempty"`    // weights that instances reported as loaded
+	WeightsOrderTargets []string          `json:"order,omitempty"`   // ids of instances about to be sent weights commands
+	ReplaceGateways     []string          `json:"gates,omitempty"`   // all gateways that poll the leader
+	MaxHashWeights      map[string]uint64 `json:"bounds,omitempty"`  // by service: highest hash weight in use
+	AddGateways         []string          `json:"came,omitempty"`    // gateways that started to poll the leader
+	RemoveGateways      []string          `json:"left,omitempty"`    // gateways that stopped polling the leader
 
 	Quarantine *quarantine.Change `json:"quarantine,omitempty"` // requests during which backends crashed
 
@@ -206,8 +206,8 @@
 		m.expire(command.Expire)
 	case len(command.Loaded) > 0:
 		m.recordLoaded(command.Loaded)
-	case len(command.WeightsCommandTargets) > 0:
-		m.recordWeightsCommands(command.WeightsCommandTargets)
+	case len(command.WeightsOrderTargets) > 0:
+		m.recordWeightsCommands(command.WeightsOrderTargets)
 	case len(command.ReplaceGateways) > 0:
 		m.setGateways(command.ReplaceGateways)
 	case len(command.AddGateways)+len(command.RemoveGateways) > 0:
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -272,7 +272,7 @@
 	if len(command.MaxHashWeights) > 0 {
 		r.markInUseChanges(now, oldBounds)
 	}
-	rosterUnaffected := len(command.Loaded)+len(command.WeightsCommandTargets) > 0 || gatewaysChanged || command.Quarantine != nil
+	rosterUnaffected := len(command.Loaded)+len(command.WeightsOrderTargets) > 0 || gatewaysChanged || command.Quarantine != nil
 	if !rosterUnaffected {
 		r.leader.markRosterChanged(changed...)
 	}
--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -65,7 +65,7 @@
 		{Drain: "i-2"}, {Deregister: "i-3"},
 		{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}, {Fence: true},
 		{Loaded: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 1}}}},
-		{WeightsCommandTargets: []string{"i-1"}}, {ReplaceGateways: []string{"g1", "g2"}}, {MaxHashWeights: map[string]uint64{"engine": 9}},
+		{WeightsOrderTargets: []string{"i-1"}}, {ReplaceGateways: []string{"g1", "g2"}}, {MaxHashWeights: map[string]uint64{"engine": 9}},
 		{Quarantine: &quarantine.Change{Seed: make([]byte, quarantine.SeedBytes), Crashes: []quarantine.Crash{{Incarnation: "i-1", Requests: []quarantine.Fingerprint{{1}}}}}},
 	} {
 		command.UnixMS = testWallStart + int64(i)
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -131,7 +131,7 @@
 	}
 	ids := r.leader.pendingOrderAnnouncements
 	r.leader.pendingOrderAnnouncements = nil
-	r.propose(now, 0, Command{Catalog: &catalog.Command{WeightsCommandTargets: ids}})
+	r.propose(now, 0, Command{Catalog: &catalog.Command{WeightsOrderTargets: ids}})
 }
 
 const (
--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -14,7 +14,7 @@
 	s.changeConfig(func(config *Config) { config.OrderWait = 5 * time.Second })
 	first, second := incarnationID("e", 1000), incarnationID("e", 2000)
 	s.sendHeartbeat(first, "a1", 1, 1)
-	s.ask(Request{Catalog: &catalog.Command{WeightsCommandTargets: []string{first}}})
+	s.ask(Request{Catalog: &catalog.Command{WeightsOrderTargets: []string{first}}})
 	for name, mark := range s.replica.orderMarks {
 		mark.term-- // as seen by the next leader
 		s.replica.orderMarks[name] = mark
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -341,7 +341,7 @@
 	if entry.Kind == consensus.EntryCommand {
 		command := decodeCommand(entry.Data)
 		if command.Catalog != nil {
-			r.recordOrderAnnouncement(now, entry.Term, command.Catalog.WeightsCommandTargets)
+			r.recordOrderAnnouncement(now, entry.Term, command.Catalog.WeightsOrderTargets)
 			command.Catalog.UnixMS = command.UnixMS
 			result.Catalog = r.applyCatalog(now, *command.Catalog)
 		} else {
