--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -151,8 +151,8 @@
 // loaded others since: newer ones, or older ones after a delayed command. Callers must not modify the map.
 func (m *Machine) LoadedVersions(id string) map[string]uint64 { return m.loaded[id] }
 
-// MayHaveWeightsCommand reports whether an instance or its predecessor may have been sent a weights command.
-func (m *Machine) MayHaveWeightsCommand(id string) bool { return m.commanded[id] }
+// MayHaveWeightsOrder reports whether an instance or its predecessor may have been sent a weights command.
+func (m *Machine) MayHaveWeightsOrder(id string) bool { return m.commanded[id] }
 
 // Gateways returns the sorted names of the gateways that poll the leader. Callers must not modify the slice.
 func (m *Machine) Gateways() []string { return m.gateways }
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -44,7 +44,7 @@
 		if known && mark.term != term {
 			mark.foreign, mark.foreignAppliedAt = true, mark.appliedAt
 		}
-		if !known && r.machine.catalog.MayHaveWeightsCommand(id) {
+		if !known && r.machine.catalog.MayHaveWeightsOrder(id) {
 			mark.foreign = true // its entry is part of a snapshot, so its age counts from the start of this process
 		}
 		mark.term, mark.appliedAt, mark.renewalDeadline = term, now, 0
@@ -56,7 +56,7 @@
 // a snapshot was installed: the entries that it covers were never applied here.
 func (r *Replica) recordSnapshotOrders(now time.Duration) {
 	for id := range r.machine.catalog.Instances() {
-		if r.machine.catalog.MayHaveWeightsCommand(id) {
+		if r.machine.catalog.MayHaveWeightsOrder(id) {
 			r.orderMarks[catalog.ParseInstanceID(id).Name] = orderMark{appliedAt: now} // term 0 counts as another leader's
 		}
 	}
@@ -68,7 +68,7 @@
 	mark, known := r.orderMarks[catalog.ParseInstanceID(id).Name]
 	switch {
 	case !known:
-		return 0, r.machine.catalog.MayHaveWeightsCommand(id)
+		return 0, r.machine.catalog.MayHaveWeightsOrder(id)
 	case mark.term != r.node.Term():
 		return mark.appliedAt, true
 	}
