--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -207,7 +207,7 @@
 	case len(command.Loaded) > 0:
 		m.recordLoaded(command.Loaded)
 	case len(command.WeightsOrderTargets) > 0:
-		m.recordWeightsCommands(command.WeightsOrderTargets)
+		m.recordWeightsOrders(command.WeightsOrderTargets)
 	case len(command.ReplaceGateways) > 0:
 		m.setGateways(command.ReplaceGateways)
 	case len(command.AddGateways)+len(command.RemoveGateways) > 0:
@@ -291,8 +291,8 @@
 	delete(m.commanded, id)
 }
 
-// recordWeightsCommands records registered instances that are about to be sent weights commands.
-func (m *Machine) recordWeightsCommands(ids []string) {
+// recordWeightsOrders records registered instances that are about to be sent weights commands.
+func (m *Machine) recordWeightsOrders(ids []string) {
 	for _, id := range ids {
 		if _, known := m.instances[id]; known {
 			m.commanded[id] = true
