--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -89,7 +89,7 @@
 	latestVersions map[string]uint64
 	publications   map[string][]Publication     // by model, ascending by version; the last one is the latest version
 	loaded         map[string]map[string]uint64 // by registered instance and model; versions never decrease
-	commanded      map[string]bool              // see MayHaveWeightsCommand; only registered instances
+	ordered        map[string]bool              // see MayHaveWeightsCommand; only registered instances
 	gateways       []string                     // gateways that poll the leader, sorted
 	gatewaySet     map[string]bool              // set of gateways
 	maxHashWeights map[string]uint64            // by service; no entry if all backends are in use
@@ -102,7 +102,7 @@
 func NewMachine() *Machine {
 	return &Machine{
 		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, incarnations: newIncarnations(), latestVersions: map[string]uint64{}, publications: map[string][]Publication{}, loaded: map[string]map[string]uint64{},
-		commanded: map[string]bool{}, gatewaySet: map[string]bool{}, maxHashWeights: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewRegistry(),
+		ordered: map[string]bool{}, gatewaySet: map[string]bool{}, maxHashWeights: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewRegistry(),
 	}
 }
 
@@ -152,7 +152,7 @@
 func (m *Machine) LoadedVersions(id string) map[string]uint64 { return m.loaded[id] }
 
 // MayHaveWeightsOrder reports whether an instance or its predecessor may have been sent a weights command.
-func (m *Machine) MayHaveWeightsOrder(id string) bool { return m.commanded[id] }
+func (m *Machine) MayHaveWeightsOrder(id string) bool { return m.ordered[id] }
 
 // Gateways returns the sorted names of the gateways that poll the leader. Callers must not modify the slice.
 func (m *Machine) Gateways() []string { return m.gateways }
@@ -244,10 +244,10 @@
 		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
 	if previous, found := m.InstanceByName(ParseInstanceID(instance.ID).Name); found && previous.ID != instance.ID {
-		commanded := m.commanded[previous.ID]
+		commanded := m.ordered[previous.ID]
 		m.delete(previous.ID)
 		if commanded {
-			m.commanded[instance.ID] = true // a command in flight is addressed to the backend, not to the incarnation
+			m.ordered[instance.ID] = true // a command in flight is addressed to the backend, not to the incarnation
 		}
 	}
 	if known && existing.State == StateDraining {
@@ -288,14 +288,14 @@
 	}
 	delete(m.instances, id)
 	delete(m.loaded, id)
-	delete(m.commanded, id)
+	delete(m.ordered, id)
 }
 
 // recordWeightsOrders records registered instances that are about to be sent weights commands.
 func (m *Machine) recordWeightsOrders(ids []string) {
 	for _, id := range ids {
 		if _, known := m.instances[id]; known {
-			m.commanded[id] = true
+			m.ordered[id] = true
 		}
 	}
 }
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -29,7 +29,7 @@
 
 // MarshalJSON encodes the whole state as a snapshot.
 func (m *Machine) MarshalJSON() ([]byte, error) {
-	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.latestVersions, m.fence, m.loaded, m.commanded, m.gateways, m.maxHashWeights, m.quarantine, m.publications, m.expiredIDs})
+	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.latestVersions, m.fence, m.loaded, m.ordered, m.gateways, m.maxHashWeights, m.quarantine, m.publications, m.expiredIDs})
 }
 
 // UnmarshalJSON replaces the whole state by a snapshot.
@@ -46,7 +46,7 @@
 		m.upsert(instance)
 	}
 	for id := range snapshot.Commanded {
-		m.commanded[id] = true
+		m.ordered[id] = true
 	}
 	m.setGateways(snapshot.Gateways)
 	maps.Copy(m.maxHashWeights, snapshot.MaxHashWeights)
