--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -244,9 +244,9 @@
 		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
 	if previous, found := m.InstanceByName(ParseInstanceID(instance.ID).Name); found && previous.ID != instance.ID {
-		commanded := m.ordered[previous.ID]
+		ordered := m.ordered[previous.ID]
 		m.delete(previous.ID)
-		if commanded {
+		if ordered {
 			m.ordered[instance.ID] = true // a command in flight is addressed to the backend, not to the incarnation
 		}
 	}
