--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -96,7 +96,7 @@
 
 // announcedWithin reports whether an order to a back end was announced no longer ago than age.
 func (r *Replica) announcedWithin(now time.Duration, id string, age time.Duration) bool {
-	return now <= r.orderMarks[catalog.ParseInstanceID(id).Name].appliedAt+age || !r.config.Guards.On(guard.WeightsCommandDelay)
+	return now <= r.orderMarks[catalog.ParseInstanceID(id).Name].appliedAt+age || !r.config.Guards.On(guard.WeightsOrderDelay)
 }
 
 // dropLateOrders removes the orders whose announcement is older than maxDispatchAge and returns their back ends to
@@ -115,7 +115,7 @@
 // order may be sent up to maxOrderAge after its announcement.
 func (r *Replica) handoverPauseOver(now time.Duration, id string) bool {
 	at, ordered := r.lastForeignOrder(id)
-	return !ordered || now >= at+maxOrderAge+r.config.OrderWait || !r.config.Guards.On(guard.WeightsCommandDelay)
+	return !ordered || now >= at+maxOrderAge+r.config.OrderWait || !r.config.Guards.On(guard.WeightsOrderDelay)
 }
 
 // queueOrderAnnouncement queues the announcement of an order to a back end. Announcements queued in one cycle share a
@@ -185,7 +185,7 @@
 // allGatewaysFollow reports whether no gateway can still use a view of another leader: every gateway in the log has
 // sent a watch to this one, or all views of earlier leaders have expired.
 func (r *Replica) allGatewaysFollow(now time.Duration) bool {
-	if now >= r.leader.startedAt+r.viewExpiry() || !r.config.Guards.On(guard.WeightsCommandDelay) {
+	if now >= r.leader.startedAt+r.viewExpiry() || !r.config.Guards.On(guard.WeightsOrderDelay) {
 		return true
 	}
 	known := r.machine.catalog.Gateways()
