--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -313,7 +313,7 @@
 // dropStaleCalls drops calls decided before a sync that took so long that this replica may have lost the leadership,
 // and orders that would follow their announcement too late. The rollout makes them again.
 func (r *Replica) dropStaleCalls(now time.Duration, calls []WeightsCall) []WeightsCall {
-	if len(calls) == 0 || !r.config.Guards.On(guard.DropLateCommands) {
+	if len(calls) == 0 || !r.config.Guards.On(guard.DropLateOrders) {
 		return calls
 	}
 	if r.leader == nil || !r.mayOrder(now) {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -34,7 +34,7 @@
 	DrainCommitted           Guard = "drain-committed"       // draining is acknowledged only after a majority stored it
 	DrainBeforeWeightsChange Guard = "turn-away-first"       // weights change only after dispatching stopped
 	WeightsOrderDelay        Guard = "order-pause"           // a new leader waits before its first weights command
-	DropLateCommands         Guard = "late-calls-dropped"    // commands decided before a long sync are dropped
+	DropLateOrders           Guard = "late-calls-dropped"    // commands decided before a long sync are dropped
 	HighestRevision          Guard = "highest-revision"      // a document replaces only one of a lower revision
 	QuarantineCheck          Guard = "held-back"             // quarantined requests are not dispatched
 	SuspendAwareClock        Guard = "suspension-counts"     // clocks include the time that the machine was suspended
@@ -52,7 +52,7 @@
 		LearnerBeforeVote, LeaseAtDispatch, VersionCheck, OperationCheck, StreamIndexCheck,
 		EndOfStreamCheck, AttemptCheck, NotRunProof, LeavingCheck, LeavingSelfReported, BackoffCheck, AdvertisedLimitCheck, DrainBeforeExit,
 		SettingsMonotonic, PersistedSettings, LeaseMargin, AmbiguousNotResent,
-		ConfirmedView, DrainCommitted, DrainBeforeWeightsChange, WeightsOrderDelay, DropLateCommands, HighestRevision, QuarantineCheck, SuspendAwareClock,
+		ConfirmedView, DrainCommitted, DrainBeforeWeightsChange, WeightsOrderDelay, DropLateOrders, HighestRevision, QuarantineCheck, SuspendAwareClock,
 		RelayConfirmed, RelayReported, RelayApplied, PublicationTimeFromLog, PublicationAgeMonotonic,
 	}
 }
