--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -141,7 +141,7 @@
 // logWeights logs the result of a weights call.
 func (s *Server) logWeights(result WeightsResult) {
 	call := result.Call
-	s.log.Info(events.WeightsCommandSent, zap.Uint8("kind", uint8(call.Kind)), zap.String(events.FieldInstance, call.Instance), zap.String("model", call.Model),
+	s.log.Info(events.WeightsCallFinished, zap.Uint8("kind", uint8(call.Kind)), zap.String(events.FieldInstance, call.Instance), zap.String("model", call.Model),
 		zap.Uint64("version", call.Version), zap.Uint64("fence", call.Fence), zap.Uint8("result", uint8(result.Kind)),
 		zap.Bool("busy", result.Busy), zap.Any("versions", result.Versions))
 }
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -49,7 +49,7 @@
 	// RegistrationRejected reports a heartbeat that can't be parsed completely and is not used.
 	RegistrationRejected = "registration refused"
 	WeightsPublished     = "weights named"
-	WeightsCommandSent   = "weights call"
+	WeightsCallFinished  = "weights call"
 	LimitReached         = "limit reached"     // a fleet-wide limit rejects requests
 	LimitCleared         = "limit left"        // the limit has rejected no requests for some time
 	RequestQuarantined   = "request held back" // it crashed too many backends; gateways no longer send it
