--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -34,8 +34,8 @@
 // recordPublication records the publication time of a version that has just been applied.
 func (r *Replica) recordPublication(now time.Duration, model string) {
 	publications := r.machine.catalog.Publications(model)
-	versions := append(r.namedVersions[model], r.localPublication(now, publications[len(publications)-1]))
-	r.namedVersions[model] = versions[max(0, len(versions)-catalog.MaxPublications):]
+	versions := append(r.publications[model], r.localPublication(now, publications[len(publications)-1]))
+	r.publications[model] = versions[max(0, len(versions)-catalog.MaxPublications):]
 }
 
 // refreshPublicationTimes computes all publication times again, at the start of a term as leader and after a snapshot
@@ -46,21 +46,21 @@
 	for model := range r.machine.catalog.LatestVersions() {
 		for _, publication := range r.machine.catalog.Publications(model) {
 			local := r.localPublication(now, publication)
-			i := slices.IndexFunc(r.namedVersions[model], func(p publishedVersion) bool { return p.version == publication.Version })
+			i := slices.IndexFunc(r.publications[model], func(p publishedVersion) bool { return p.version == publication.Version })
 			if i >= 0 {
-				local.publishedAt = min(local.publishedAt, r.namedVersions[model][i].publishedAt)
+				local.publishedAt = min(local.publishedAt, r.publications[model][i].publishedAt)
 			}
 			refreshed[model] = append(refreshed[model], local)
 		}
 	}
-	r.namedVersions = refreshed
+	r.publications = refreshed
 }
 
 // weightsPublications returns the recently published weights versions with their ages.
 func (r *Replica) weightsPublications(now time.Duration) []WeightsPublication {
 	var publications []WeightsPublication
-	for _, model := range sortedKeys(r.namedVersions) {
-		for _, published := range r.namedVersions[model] {
+	for _, model := range sortedKeys(r.publications) {
+		for _, published := range r.publications[model] {
 			publications = append(publications, WeightsPublication{Model: model, Version: published.version, Age: max(0, now-published.publishedAt)})
 		}
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -103,7 +103,7 @@
 	ready          consensus.Ready
 	effects        Effects
 	leader         *leaderState
-	namedVersions  map[string][]publishedVersion // by model, in ascending order of version, with local times
+	publications   map[string][]publishedVersion // by model, in ascending order of version, with local times
 	orderMarks     map[string]orderMark          // newest order seen in the log, by back-end name
 	published      publishedDocument             // newest document sent to gateways
 	relay          *relay.Relay                  // answers gateways while another replica leads
@@ -118,7 +118,7 @@
 func NewReplica(config Config, restored Checkpoint, now time.Duration) (*Replica, error) {
 	replica := &Replica{
 		config: config, machine: NewMachine(config.Guards), snapshot: restored.Snapshot,
-		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, namedVersions: map[string][]publishedVersion{}, orderMarks: map[string]orderMark{},
+		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, publications: map[string][]publishedVersion{}, orderMarks: map[string]orderMark{},
 		quarantined: newCrashTimes(), relay: relay.New(config.Guards),
 	}
 	if len(restored.Snapshot.Data) > 0 {
