--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -59,22 +59,22 @@
 func (r *Replica) recordQuarantineChange(now time.Duration, change quarantine.Change) {
 	for _, crash := range change.Crashes {
 		for _, f := range crash.Requests {
-			r.quarantined.changedAt[f] = now
+			r.crashTimes.changedAt[f] = now
 		}
 	}
 	for _, release := range change.Releases {
 		for _, f := range release.Requests {
-			r.quarantined.changedAt[f], r.quarantined.releaseReasons[f] = now, release.Reason
+			r.crashTimes.changedAt[f], r.crashTimes.releaseReasons[f] = now, release.Reason
 		}
 	}
 }
 
 // maintainQuarantine proposes the seed of the fingerprints if there is none, and the release of expired entries.
 func (r *Replica) maintainQuarantine(now time.Duration) {
-	if r.quarantined.sweptAt > 0 && now < r.quarantined.sweptAt+quarantineSweepInterval {
+	if r.crashTimes.sweptAt > 0 && now < r.crashTimes.sweptAt+quarantineSweepInterval {
 		return
 	}
-	r.quarantined.sweptAt = now
+	r.crashTimes.sweptAt = now
 	registry := r.machine.catalog.Quarantine()
 	if !registry.HasSeed() {
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Seed: r.newSeed()}}})
@@ -90,9 +90,9 @@
 func (r *Replica) expiredEntries(now time.Duration, registry *quarantine.Registry) []quarantine.Release {
 	expiredSuspects := quarantine.Release{Reason: quarantine.ReasonExpired}
 	expiredQuarantines := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
-	changedAt := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.changedAt))
+	changedAt := make(map[quarantine.Fingerprint]time.Duration, len(r.crashTimes.changedAt))
 	for _, f := range registry.Fingerprints() {
-		at, known := r.quarantined.changedAt[f]
+		at, known := r.crashTimes.changedAt[f]
 		if !known {
 			at = now
 		}
@@ -104,8 +104,8 @@
 			expiredSuspects.Requests = append(expiredSuspects.Requests, f)
 		}
 	}
-	r.quarantined.changedAt = changedAt
-	maps.DeleteFunc(r.quarantined.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return registry.CrashCount(f) == 0 })
+	r.crashTimes.changedAt = changedAt
+	maps.DeleteFunc(r.crashTimes.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return registry.CrashCount(f) == 0 })
 	var expired []quarantine.Release
 	for _, release := range []quarantine.Release{expiredSuspects, expiredQuarantines} {
 		if len(release.Requests) > 0 {
@@ -152,7 +152,7 @@
 	}
 	for f, at := range s.heldBackLog.since {
 		if _, quarantined := since[f]; !quarantined {
-			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.releaseReasons[f])), zap.Duration("held", now-at), zap.Int(events.FieldIncarnations, registry.CrashCount(f)))
+			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.crashTimes.releaseReasons[f])), zap.Duration("held", now-at), zap.Int(events.FieldIncarnations, registry.CrashCount(f)))
 		}
 	}
 	s.heldBackLog.since = since
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -108,7 +108,7 @@
 	published      publishedDocument             // newest document sent to gateways
 	relay          *relay.Relay                  // answers gateways while another replica leads
 	awaitingLeader []heldWatch                   // watches held until a leader is known; at most maxAwaitingLeader
-	quarantined    crashTimes                    // local times of the replicated crash counts
+	crashTimes     crashTimes                    // local times of the replicated crash counts
 	checkpointDue  bool                          // the next Prepare must write a checkpoint
 	stopErr        error                         // why the replica has stopped, or nil
 }
@@ -119,7 +119,7 @@
 	replica := &Replica{
 		config: config, machine: NewMachine(config.Guards), snapshot: restored.Snapshot,
 		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, publications: map[string][]publishedVersion{}, orderMarks: map[string]orderMark{},
-		quarantined: newCrashTimes(), relay: relay.New(config.Guards),
+		crashTimes: newCrashTimes(), relay: relay.New(config.Guards),
 	}
 	if len(restored.Snapshot.Data) > 0 {
 		if err := replica.machine.Restore(restored.Snapshot.Data); err != nil {
