--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -60,7 +60,7 @@
 	relayReplicas             map[string]relayReplica // followers that answer gateways, by name
 	cacheEventSources         map[string][]string     // engines whose cache events a gateway reads, by gateway; nil after a change of layout
 	cacheEventSourcesCount    uint64                  // roster count that cacheEventSources was computed from
-	trusting                  gatewayCounts
+	gatewayCounts             gatewayCounts
 	rosterCount               uint64 // incremented whenever the roster may have changed
 	roster                    roster.Log
 	rosterPending             map[string]bool       // back ends with changes not yet in the roster
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -69,7 +69,7 @@
 
 // trustingGateways returns how many gateways may still use their view, and how many of them are silent.
 func (r *Replica) trustingGateways(now time.Duration) (silent, total int) {
-	counts := &r.leader.trusting
+	counts := &r.leader.gatewayCounts
 	if !counts.counted || now >= counts.countedAt+gatewayCountInterval {
 		counts.silent, counts.total = r.countTrustingGateways(now)
 		counts.counted, counts.countedAt = true, now
