--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -133,27 +133,27 @@
 // logQuarantineChanges logs the start and end of each quarantine, on the leader only.
 func (s *Server) logQuarantineChanges() {
 	registry := s.replica.machine.catalog.Quarantine()
-	if s.replica.leader == nil || registry.Version() == s.heldBackLog.version {
+	if s.replica.leader == nil || registry.Version() == s.quarantineLog.version {
 		return
 	}
 	now := s.now()
-	s.heldBackLog.version = registry.Version()
+	s.quarantineLog.version = registry.Version()
 	since := map[quarantine.Fingerprint]time.Duration{}
 	for _, entry := range registry.Update().Entries {
 		if len(entry.Incarnations) < quarantine.QuarantineThreshold {
 			continue
 		}
-		at, known := s.heldBackLog.since[entry.Request]
+		at, known := s.quarantineLog.since[entry.Request]
 		if !known {
 			at = now
 			s.log.Info(events.RequestQuarantined, zap.Stringer(events.FieldFingerprint, entry.Request), zap.Strings("ended", entry.Incarnations))
 		}
 		since[entry.Request] = at
 	}
-	for f, at := range s.heldBackLog.since {
+	for f, at := range s.quarantineLog.since {
 		if _, quarantined := since[f]; !quarantined {
 			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.crashTimes.releaseReasons[f])), zap.Duration("held", now-at), zap.Int(events.FieldIncarnations, registry.CrashCount(f)))
 		}
 	}
-	s.heldBackLog.since = since
+	s.quarantineLog.since = since
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -76,7 +76,7 @@
 	loggedLevel     level.Level // last logged level in force; owned by runReplica
 	relayFailing    bool        // the last relay request failed; owned by runReplica
 	overLimitLog    limitLogState
-	heldBackLog     quarantineLogState
+	quarantineLog   quarantineLogState
 	config          Config
 	now             clock.Source // time since the server was created
 	inputs          chan input
