--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -113,16 +113,16 @@
 // logLimitChanges logs each limit that starts or stops rejecting requests.
 func (s *Server) logLimitChanges() {
 	now := s.now()
-	if s.replica.leader == nil || now < s.overLimitLog.checkedAt+limitLogInterval {
+	if s.replica.leader == nil || now < s.limitLog.checkedAt+limitLogInterval {
 		return
 	}
-	s.overLimitLog.checkedAt = now
+	s.limitLog.checkedAt = now
 	reached := map[string]bool{}
 	for _, state := range s.replica.leader.lending.allocator.States(now) {
 		if state.OverLimit {
 			reached[state.Name] = true
 		}
-		if state.OverLimit == s.overLimitLog.reached[state.Name] {
+		if state.OverLimit == s.limitLog.reached[state.Name] {
 			continue
 		}
 		event := events.LimitCleared
@@ -132,5 +132,5 @@
 		s.log.Info(event, zap.String(events.FieldResource, state.Name), zap.Float64("rate", state.Limit.Rate), zap.Float64("level", state.Level),
 			zap.Float64("lent", state.Granted), zap.Float64("refused", state.Refused), zap.Float64("withheld", state.Withheld))
 	}
-	s.overLimitLog.reached = reached
+	s.limitLog.reached = reached
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -75,7 +75,7 @@
 	wasLeader       bool        // last logged leadership; owned by runReplica
 	loggedLevel     level.Level // last logged level in force; owned by runReplica
 	relayFailing    bool        // the last relay request failed; owned by runReplica
-	overLimitLog    limitLogState
+	limitLog        limitLogState
 	quarantineLog   quarantineLogState
 	config          Config
 	now             clock.Source // time since the server was created
