--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -168,10 +168,10 @@
 // HandleBackendHeartbeat handles a heartbeat of a back end. After an error, the heartbeat may or may not have taken
 // effect.
 func (s *Server) HandleBackendHeartbeat(ctx context.Context, heartbeat BackendHeartbeat) error {
-	if s.beats.enqueueWithoutReply(s.now(), heartbeat) {
+	if s.heartbeats.enqueueWithoutReply(s.now(), heartbeat) {
 		return nil
 	}
-	done := s.beats.enqueueForReply(heartbeat)
+	done := s.heartbeats.enqueueForReply(heartbeat)
 	if done == nil {
 		return errTooManyHeartbeats
 	}
@@ -193,7 +193,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-s.beats.wake:
+		case <-s.heartbeats.wake:
 			time.Sleep(heartbeatBatchDelay)
 		}
 		if !formed {
@@ -202,17 +202,17 @@
 		if !formed {
 			continue
 		}
-		batch := s.beats.takeBatch()
+		batch := s.heartbeats.takeBatch()
 		if batch.empty() {
 			continue
 		}
 		attempt, cancel := context.WithTimeout(ctx, batchTimeout)
 		response, err := s.group.Ask(attempt, Request{Beats: batch.heartbeats, Signs: batch.keepalives})
 		cancel()
-		s.beats.recordBatch(s.now(), batch, err == nil, response.UnknownBackends)
+		s.heartbeats.recordBatch(s.now(), batch, err == nil, response.UnknownBackends)
 		for _, p := range batch.pending {
 			if err == nil {
-				s.beats.recordAck(s.now(), p.heartbeat)
+				s.heartbeats.recordAck(s.now(), p.heartbeat)
 			}
 			p.done <- err
 		}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -89,7 +89,7 @@
 	group           *Client
 	driver          Driver
 	weightsCalls    chan queuedCall
-	beats           heartbeatBatcher
+	heartbeats      heartbeatBatcher
 
 	mutex    sync.Mutex
 	outboxes map[consensus.ID]chan consensus.Message
@@ -116,8 +116,8 @@
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
 		now: clock.NewSource(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
-		beats:   heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)},
-		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
+		heartbeats: heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)},
+		clients:    map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
 		client: transport.NewClientWithDialTimeout(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
 	}
 	server.group = NewClient(server.client, file.Control.Founders)
