--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -54,7 +54,7 @@
 // but do not undo a drain.
 func TestBatchedHeartbeatsHaveTheEffectOfSingleOnes(t *testing.T) {
 	s := openWithEngines(t)
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
+	s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
 	s.ask(Request{Beats: []BackendHeartbeat{heartbeatOf("i-1", catalog.StateReady, 10), heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-3", catalog.StateReady, 1)}})
 	s.advance(100 * time.Millisecond)
 	instances := s.replica.Machine().Catalog().Instances()
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -24,7 +24,7 @@
 // sendHeartbeats sends a heartbeat for each engine.
 func (s *singleReplica) sendHeartbeats(ids ...string) {
 	for _, id := range ids {
-		s.ask(Request{Beat: &BackendHeartbeat{
+		s.ask(Request{BackendHeartbeat: &BackendHeartbeat{
 			Instance: catalog.Instance{ID: id, Service: "engine", Address: id, State: catalog.StateReady},
 			Sequence: uint64(s.now), Versions: map[string]uint64{"m": 1},
 		}})
@@ -93,7 +93,7 @@
 // undoes it nor registers the back end again after it has left.
 func TestDrainIsAnsweredOnceCommitted(t *testing.T) {
 	s := openWithEngines(t)
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
+	s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
 	if state := s.replica.Machine().Catalog().Instances()["i-1"].State; state != catalog.StateDraining {
 		t.Fatalf("state %q, want draining", state)
 	}
@@ -101,7 +101,7 @@
 	if state := s.replica.Machine().Catalog().Instances()["i-1"].State; state != catalog.StateDraining {
 		t.Fatalf("state %q after a delayed heartbeat, want draining", state)
 	}
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1"}, Leaving: true}})
+	s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1"}, Leaving: true}})
 	s.sendHeartbeats("i-1")
 	if _, known := s.replica.Machine().Catalog().Instances()["i-1"]; known {
 		t.Fatal("a delayed heartbeat registered a back end that had left")
--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -18,7 +18,7 @@
 		return s
 	}
 	sendUnconfigured := func(s *singleReplica, id, address string, state catalog.State) {
-		s.ask(Request{Beat: &BackendHeartbeat{
+		s.ask(Request{BackendHeartbeat: &BackendHeartbeat{
 			Instance: catalog.Instance{ID: id, Service: "nobody", Address: address, State: state},
 			Sequence: 1000, Versions: map[string]uint64{"m": 9},
 		}})
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -152,8 +152,8 @@
 		r.handleQuarantineChange(now, client, *request.Catalog.Quarantine)
 	case request.Catalog != nil:
 		r.propose(now, client, Command{Catalog: request.Catalog})
-	case request.Beat != nil:
-		r.handleBackendHeartbeat(now, client, *request.Beat)
+	case request.BackendHeartbeat != nil:
+		r.handleBackendHeartbeat(now, client, *request.BackendHeartbeat)
 	case len(request.Beats)+len(request.Signs) > 0:
 		r.handleHeartbeatBatch(now, client, request.Beats, request.Signs)
 	case request.Watch != nil:
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -31,14 +31,14 @@
 	t.Helper()
 	s := openWithEngines(t)
 	for _, id := range []string{"i-1", "i-2"} {
-		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
+		s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 	}
 	return s
 }
 
 // sendHeartbeat sends a heartbeat of an engine at an address.
 func (s *singleReplica) sendHeartbeat(id, address string, sequence, version uint64) {
-	s.ask(Request{Beat: &BackendHeartbeat{
+	s.ask(Request{BackendHeartbeat: &BackendHeartbeat{
 		Instance: catalog.Instance{ID: id, Service: "engine", Address: address, State: catalog.StateReady},
 		Sequence: sequence, Versions: map[string]uint64{"m": version},
 	}})
@@ -63,7 +63,7 @@
 	if s.isRegistered(incarnationID("e", 1000)) || !s.isRegistered(incarnationID("e", 2000)) {
 		t.Fatal("a delayed heartbeat registered the previous incarnation again")
 	}
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e", 1000)}, Leaving: true}})
+	s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e", 1000)}, Leaving: true}})
 	if !s.isRegistered(incarnationID("e", 2000)) {
 		t.Fatal("a delayed deregistration of the previous incarnation ended the new one")
 	}
@@ -91,7 +91,7 @@
 	s := openWithEngines(t)
 	s.sendHeartbeat("early", "a9", 1, 1)
 	for _, id := range []string{"i-1", "i-2"} {
-		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
+		s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 	}
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
 	s.sendHeartbeat("e", "a1", 90, 7)
@@ -110,11 +110,11 @@
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
 	s.sendHeartbeat(incarnationID("e@5", 1000), "a2", 1, 1)
 	s.advance(lateDeregistrationWindow)
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e@5", 0)}, Leaving: true}})
+	s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e@5", 0)}, Leaving: true}})
 	if s.isRegistered(incarnationID("e@5", 1000)) || !s.isRegistered(incarnationID("e", 1000)) {
 		t.Fatal("a name that contains the separator was taken for another back end")
 	}
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}})
+	s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}})
 	if s.isRegistered(incarnationID("e", 1000)) {
 		t.Fatal("the back end is registered after it has left")
 	}
@@ -134,7 +134,7 @@
 func TestLateLeaveDoesNotBlockNewIncarnation(t *testing.T) {
 	s := openWithEngines(t)
 	id := incarnationID("e", 2000)
-	leave := Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}}
+	leave := Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}}
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
 	s.sendHeartbeat(id, "a1", 1, 1)
 	s.ask(leave)
@@ -156,7 +156,7 @@
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}, {Name: "plain"}}}}})
 	sendWithoutWeights := func(id, service string) {
-		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id, Service: service, Address: id, State: catalog.StateReady}, Sequence: 1}})
+		s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: id, Service: service, Address: id, State: catalog.StateReady}, Sequence: 1}})
 	}
 	sendWithoutWeights("e", "engine")
 	sendWithoutWeights("p", "plain")
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -42,7 +42,7 @@
 			ids = append(ids, fmt.Sprint("e-", i))
 		}
 		for _, id := range []string{"i-1", "i-2"} {
-			s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
+			s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 		}
 		s.sendHeartbeats(ids...)
 		s.replica.leader.readyPeak, s.replica.leader.readyPeakAt = 2*engines, s.now // half have crashed
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -189,7 +189,7 @@
 	if beat.Sequence%2 == 0 {
 		return control.Request{Beats: []control.BackendHeartbeat{*beat}}
 	}
-	return control.Request{Beat: beat}
+	return control.Request{BackendHeartbeat: beat}
 }
 
 // drain says that the instance leaves, and ends it after the acknowledgement.
@@ -207,7 +207,7 @@
 		}
 		b.after(fleetDrain, func() {
 			leave := &control.BackendHeartbeat{Instance: catalog.Instance{ID: catalog.ParseInstanceID(id).Name}, Leaving: true}
-			b.asker.ask(control.Request{Beat: leave}, b.w.now()+10*time.Second, func(control.Response, bool) {
+			b.asker.ask(control.Request{BackendHeartbeat: leave}, b.w.now()+10*time.Second, func(control.Response, bool) {
 				b.kill(false)
 				b.w.restart(b, b.w.between(200*time.Millisecond, 2*time.Second))
 			})
