--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -55,7 +55,7 @@
 func TestBatchedHeartbeatsHaveTheEffectOfSingleOnes(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
-	s.ask(Request{Beats: []BackendHeartbeat{heartbeatOf("i-1", catalog.StateReady, 10), heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-3", catalog.StateReady, 1)}})
+	s.ask(Request{BackendHeartbeats: []BackendHeartbeat{heartbeatOf("i-1", catalog.StateReady, 10), heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-3", catalog.StateReady, 1)}})
 	s.advance(100 * time.Millisecond)
 	instances := s.replica.Machine().Catalog().Instances()
 	if instances["i-1"].State != catalog.StateDraining || instances["i-3"].State != catalog.StateReady {
@@ -71,7 +71,7 @@
 func TestBatchIsAnsweredOnceCommitted(t *testing.T) {
 	s := openWithEngines(t)
 	const client = 5000
-	s.replica.Handle(s.now, client, Request{Beats: []BackendHeartbeat{
+	s.replica.Handle(s.now, client, Request{BackendHeartbeats: []BackendHeartbeat{
 		heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-7", catalog.StateReady, 1), heartbeatOf("i-2", catalog.StateDraining, uint64(s.now)+1),
 		heartbeatOf("i-8", catalog.StateReady, 1),
 	}})
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -32,7 +32,7 @@
 			beat.Versions = map[string]uint64{"m": 1}
 			batch = append(batch, beat)
 		}
-		s.ask(Request{Beats: batch})
+		s.ask(Request{BackendHeartbeats: batch})
 	}
 	s.advance(500 * time.Millisecond)
 }
@@ -90,7 +90,7 @@
 		leaving = append(leaving, BackendHeartbeat{Instance: e.Instance, Sequence: 2})
 		leaving[len(leaving)-1].Instance.State = catalog.StateDraining
 	}
-	s.ask(Request{Beats: leaving})
+	s.ask(Request{BackendHeartbeats: leaving})
 	s.advance(2 * inUseCheckInterval)
 	ready := 0
 	for _, e := range s.watchNow("g1", RosterVersion{}).Roster.Entries {
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -16,19 +16,19 @@
 // Request is a request to a control replica, from a router, gateway, back end, operator or another replica. Exactly one
 // field is set, except that Beats and Signs may come together.
 type Request struct {
-	Heartbeat        *Heartbeat         `json:"heartbeat,omitempty"`
-	Claim            *ledger.Claim      `json:"claim,omitempty"`
-	End              *ledger.End        `json:"end,omitempty"`
-	Change           *settings.Change   `json:"change,omitempty"`
-	Read             *Read              `json:"read,omitempty"`
-	Status           *StatusRequest     `json:"status,omitempty"`
-	Join             *consensus.Member  `json:"join,omitempty"`
-	Catalog          *catalog.Command   `json:"catalog,omitempty"` // changes the document, a named version or the quarantine
-	BackendHeartbeat *BackendHeartbeat  `json:"beat,omitempty"`
-	Beats            []BackendHeartbeat `json:"beats,omitempty"` // full heartbeats of back ends, forwarded by a replica
-	Signs            []Keepalive        `json:"signs,omitempty"` // unchanged heartbeats of back ends, forwarded by a replica
-	Watch            *Watch             `json:"watch,omitempty"`
-	Document         *DocumentRequest   `json:"document,omitempty"`
+	Heartbeat         *Heartbeat         `json:"heartbeat,omitempty"`
+	Claim             *ledger.Claim      `json:"claim,omitempty"`
+	End               *ledger.End        `json:"end,omitempty"`
+	Change            *settings.Change   `json:"change,omitempty"`
+	Read              *Read              `json:"read,omitempty"`
+	Status            *StatusRequest     `json:"status,omitempty"`
+	Join              *consensus.Member  `json:"join,omitempty"`
+	Catalog           *catalog.Command   `json:"catalog,omitempty"` // changes the document, a named version or the quarantine
+	BackendHeartbeat  *BackendHeartbeat  `json:"beat,omitempty"`
+	BackendHeartbeats []BackendHeartbeat `json:"beats,omitempty"` // full heartbeats of back ends, forwarded by a replica
+	Signs             []Keepalive        `json:"signs,omitempty"` // unchanged heartbeats of back ends, forwarded by a replica
+	Watch             *Watch             `json:"watch,omitempty"`
+	Document          *DocumentRequest   `json:"document,omitempty"`
 
 	Relay  *relay.Request     `json:"relay,omitempty"`  // from a follower that answers gateways
 	Borrow *allowance.Request `json:"borrow,omitempty"` // from a gateway: requests shares of fleet-wide limits
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -20,7 +20,7 @@
 		for i := first; i < min(first+batchSize, count); i++ {
 			batch = append(batch, heartbeatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1))
 		}
-		s.replica.Handle(s.now, uint64(100_000+first), Request{Beats: batch})
+		s.replica.Handle(s.now, uint64(100_000+first), Request{BackendHeartbeats: batch})
 	}
 	s.work()
 	return s.replica.Node().LastIndex() - before
@@ -49,7 +49,7 @@
 // in the same batch.
 func TestRegisterAndLeaveInOneBatchKeepOrder(t *testing.T) {
 	s := openWithEngines(t)
-	s.replica.Handle(s.now, 7000, Request{Beats: []BackendHeartbeat{
+	s.replica.Handle(s.now, 7000, Request{BackendHeartbeats: []BackendHeartbeat{
 		heartbeatOf("i-8", catalog.StateReady, 1), {Instance: catalog.Instance{ID: "i-8"}, Leaving: true}, heartbeatOf("i-9", catalog.StateReady, 1),
 		heartbeatOf("i-9", catalog.StateDraining, 2),
 	}})
@@ -64,7 +64,7 @@
 // appended.
 func TestPendingRegistrationsAreAnsweredOnLeadershipLoss(t *testing.T) {
 	s := openWithEngines(t)
-	s.replica.Handle(s.now, 7000, Request{Beats: []BackendHeartbeat{heartbeatOf("i-8", catalog.StateReady, 1)}})
+	s.replica.Handle(s.now, 7000, Request{BackendHeartbeats: []BackendHeartbeat{heartbeatOf("i-8", catalog.StateReady, 1)}})
 	s.replica.leader.term = 0 // simulates the start of another term
 	s.replica.checkLeadership(s.now)
 	s.work()
@@ -77,7 +77,7 @@
 func countSnapshots(s *singleReplica, count int) (snapshots, bytes int) {
 	last := s.replica.snapshot.Meta.Index
 	for i := range count {
-		s.replica.Handle(s.now, 0, Request{Beats: []BackendHeartbeat{heartbeatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1)}})
+		s.replica.Handle(s.now, 0, Request{BackendHeartbeats: []BackendHeartbeat{heartbeatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1)}})
 		s.work()
 		if index := s.replica.snapshot.Meta.Index; index != last {
 			last, snapshots, bytes = index, snapshots+1, bytes+len(s.replica.snapshot.Data)
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -187,7 +187,7 @@
 // request puts a heartbeat into a call: every other one as a replica that gathers heartbeats passes them on.
 func (b *fleetBackend) request(beat *control.BackendHeartbeat) control.Request {
 	if beat.Sequence%2 == 0 {
-		return control.Request{Beats: []control.BackendHeartbeat{*beat}}
+		return control.Request{BackendHeartbeats: []control.BackendHeartbeat{*beat}}
 	}
 	return control.Request{BackendHeartbeat: beat}
 }
