--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -207,7 +207,7 @@
 			continue
 		}
 		attempt, cancel := context.WithTimeout(ctx, batchTimeout)
-		response, err := s.group.Ask(attempt, Request{BackendHeartbeats: batch.heartbeats, Signs: batch.keepalives})
+		response, err := s.group.Ask(attempt, Request{BackendHeartbeats: batch.heartbeats, Keepalives: batch.keepalives})
 		cancel()
 		s.heartbeats.recordBatch(s.now(), batch, err == nil, response.UnknownBackends)
 		for _, p := range batch.pending {
--- a/internal/control/beats_strangers_test.go
+++ b/internal/control/beats_strangers_test.go
@@ -19,8 +19,8 @@
 		t.Run(name, func(t *testing.T) {
 			s := openWithEngines(t)
 			const first, second, withoutKeepalives = 5000, 5001, 5002
-			s.replica.Handle(s.now, first, Request{BackendHeartbeats: []BackendHeartbeat{changing}, Signs: []Keepalive{{ID: "i-8", Sequence: 1}}})
-			s.replica.Handle(s.now, second, Request{BackendHeartbeats: []BackendHeartbeat{heartbeatOf("i-9", catalog.StateReady, 1)}, Signs: []Keepalive{{ID: "i-10", Sequence: 1}}})
+			s.replica.Handle(s.now, first, Request{BackendHeartbeats: []BackendHeartbeat{changing}, Keepalives: []Keepalive{{ID: "i-8", Sequence: 1}}})
+			s.replica.Handle(s.now, second, Request{BackendHeartbeats: []BackendHeartbeat{heartbeatOf("i-9", catalog.StateReady, 1)}, Keepalives: []Keepalive{{ID: "i-10", Sequence: 1}}})
 			s.replica.Handle(s.now, withoutKeepalives, Request{BackendHeartbeats: []BackendHeartbeat{heartbeatOf("i-11", catalog.StateReady, 1)}})
 			s.work()
 			for client, want := range map[uint64][]string{first: {"i-8"}, second: {"i-10"}, withoutKeepalives: nil} {
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -145,7 +145,7 @@
 	keepaliveOf := func(id string) Keepalive { return Keepalive{ID: id, Sequence: uint64(s.now)} }
 	s.replica.leader.fleet["i-2"].fullHeartbeatSeen = false
 	s.advance(time.Second)
-	if response := s.ask(Request{Signs: []Keepalive{keepaliveOf("i-1"), keepaliveOf("i-2"), keepaliveOf("i-3")}}); len(response.UnknownBackends) != 2 {
+	if response := s.ask(Request{Keepalives: []Keepalive{keepaliveOf("i-1"), keepaliveOf("i-2"), keepaliveOf("i-3")}}); len(response.UnknownBackends) != 2 {
 		t.Fatalf("response %+v, want 2 unknown back ends", response)
 	}
 	if heardAt := s.replica.leader.fleet["i-1"].heardAt; heardAt != s.now {
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -154,8 +154,8 @@
 		r.propose(now, client, Command{Catalog: request.Catalog})
 	case request.BackendHeartbeat != nil:
 		r.handleBackendHeartbeat(now, client, *request.BackendHeartbeat)
-	case len(request.BackendHeartbeats)+len(request.Signs) > 0:
-		r.handleHeartbeatBatch(now, client, request.BackendHeartbeats, request.Signs)
+	case len(request.BackendHeartbeats)+len(request.Keepalives) > 0:
+		r.handleHeartbeatBatch(now, client, request.BackendHeartbeats, request.Keepalives)
 	case request.Watch != nil:
 		r.handleWatch(now, client, *request.Watch)
 	case request.Relay != nil:
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -26,7 +26,7 @@
 	Catalog           *catalog.Command   `json:"catalog,omitempty"` // changes the document, a named version or the quarantine
 	BackendHeartbeat  *BackendHeartbeat  `json:"beat,omitempty"`
 	BackendHeartbeats []BackendHeartbeat `json:"beats,omitempty"` // full heartbeats of back ends, forwarded by a replica
-	Signs             []Keepalive        `json:"signs,omitempty"` // unchanged heartbeats of back ends, forwarded by a replica
+	Keepalives        []Keepalive        `json:"signs,omitempty"` // unchanged heartbeats of back ends, forwarded by a replica
 	Watch             *Watch             `json:"watch,omitempty"`
 	Document          *DocumentRequest   `json:"document,omitempty"`
 
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -167,13 +167,13 @@
 func (b *fleetBackend) sendBeat(beat *control.BackendHeartbeat) {
 	request := b.request(beat)
 	if b.told == toldOf(beat) && beat.Sequence%3 == 0 {
-		request = control.Request{Signs: []control.Keepalive{{ID: beat.Instance.ID, Sequence: beat.Sequence}}}
+		request = control.Request{Keepalives: []control.Keepalive{{ID: beat.Instance.ID, Sequence: beat.Sequence}}}
 	}
 	b.asker.once(request, askTimeout, func(response control.Response, answered bool) {
 		switch {
 		case !answered || response.Kind != control.ResponseOK || len(response.UnknownBackends) > 0:
 			b.told = ""
-		case len(request.Signs) == 0:
+		case len(request.Keepalives) == 0:
 			b.told = toldOf(beat)
 		}
 	})
