--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -228,7 +228,7 @@
 
 // queueRegistration adds a registration to the next batch. Client 0 gets no answer.
 func (r *Replica) queueRegistration(client uint64, instance catalog.Instance) {
-	batch := &r.leader.joining
+	batch := &r.leader.pendingRegistrations
 	batch.instances = append(batch.instances, instance)
 	batch.addClient(client)
 }
@@ -243,11 +243,11 @@
 // proposeRegistrations proposes the queued registrations. It must run before any other proposal, so that the log holds
 // the changes of a back end in order of arrival.
 func (r *Replica) proposeRegistrations(now time.Duration) {
-	if r.leader == nil || len(r.leader.joining.instances) == 0 {
+	if r.leader == nil || len(r.leader.pendingRegistrations.instances) == 0 {
 		return
 	}
-	batch := r.leader.joining
-	r.leader.joining = registrationBatch{}
+	batch := r.leader.pendingRegistrations
+	r.leader.pendingRegistrations = registrationBatch{}
 	r.appendCommand(now, batch.clients, Command{Catalog: &catalog.Command{RegisterBatch: batch.instances}})
 }
 
@@ -266,9 +266,9 @@
 	}
 	last := r.node.LastIndex()
 	switch {
-	case len(r.leader.joining.instances) > 0:
+	case len(r.leader.pendingRegistrations.instances) > 0:
 		r.leader.recordUnknownBackends(client, unknownBackends)
-		r.leader.joining.addClient(client)
+		r.leader.pendingRegistrations.addClient(client)
 	case last > before:
 		r.leader.recordUnknownBackends(client, unknownBackends)
 		r.pending[last] = pendingProposal{clients: []uint64{client}, term: r.node.Term()}
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -80,7 +80,7 @@
 	watchers                  []heldWatch
 	usage                     map[string]usageReport // by gateway
 	lending                   lending
-	joining                   registrationBatch
+	pendingRegistrations      registrationBatch
 	levels                    levelTracker
 	unknownBackends           map[uint64][]string // back ends asked for a full heartbeat, by client that waits for an entry
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -207,7 +207,7 @@
 		previous := r.leader
 		r.leader = nil
 		r.closeWatches(previous)
-		r.replyAll(previous.joining.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
+		r.replyAll(previous.pendingRegistrations.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 		r.failPending()
 	}
 	if r.leader == nil && isLeader {
@@ -398,7 +398,7 @@
 	if r.stopErr != nil {
 		return false
 	}
-	return r.checkpointDue || r.leader != nil && len(r.leader.joining.instances)+len(r.leader.pendingOrderAnnouncements) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
+	return r.checkpointDue || r.leader != nil && len(r.leader.pendingRegistrations.instances)+len(r.leader.pendingOrderAnnouncements) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
 }
 
 // members returns the membership sorted by name.
