--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -77,7 +77,7 @@
 	gatewayListChanged        bool          // the gateways in the log have changed, so that held watches can be answered
 	smoothedLoadTime          time.Duration // smoothed duration of loading weights; 0 before the first load
 	orderLostAt               time.Duration // when a weights order last got no answer
-	watchers                  []heldWatch
+	heldWatches               []heldWatch
 	usage                     map[string]usageReport // by gateway
 	lending                   lending
 	pendingRegistrations      registrationBatch
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -103,7 +103,7 @@
 	}
 	held := heldWatch{client: client, watch: watch, due: now + min(watch.Hold, maxWatchHold)}
 	if !r.answerWatch(now, held) {
-		r.leader.watchers = append(r.leader.watchers, held)
+		r.leader.heldWatches = append(r.leader.heldWatches, held)
 	}
 }
 
@@ -175,7 +175,7 @@
 // answerWatches answers the held watches that are due or for which something has changed.
 func (r *Replica) answerWatches(now time.Duration) {
 	r.leader.publishRosterIfDue(now)
-	r.leader.watchers = slices.DeleteFunc(r.leader.watchers, func(held heldWatch) bool { return r.answerWatch(now, held) })
+	r.leader.heldWatches = slices.DeleteFunc(r.leader.heldWatches, func(held heldWatch) bool { return r.answerWatch(now, held) })
 }
 
 // answerWatch answers a watch if it is due or something has changed, and reports whether it did. It waits for up to
@@ -299,8 +299,8 @@
 
 // closeWatches rejects every held watch when this replica stops leading.
 func (r *Replica) closeWatches(leader *leaderState) {
-	for _, held := range leader.watchers {
+	for _, held := range leader.heldWatches {
 		r.reply(held.client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 	}
-	leader.watchers = nil
+	leader.heldWatches = nil
 }
