--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -19,10 +19,10 @@
 // updateInUse adapts the set of back ends in use to the load. It logs the bounds that define the set, so that the next
 // leader uses the same one.
 func (r *Replica) updateInUse(now time.Duration) {
-	if now < r.leader.boundsCheckedAt+inUseCheckInterval {
+	if now < r.leader.inUseCheckedAt+inUseCheckInterval {
 		return
 	}
-	r.leader.boundsCheckedAt = now
+	r.leader.inUseCheckedAt = now
 	running := r.runningByInstance(now)
 	services := map[string]*serviceLoad{}
 	for id, instance := range r.machine.catalog.Instances() {
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -67,7 +67,7 @@
 	unlogged                  map[string]bool       // back ends with held weights not yet in the log
 	pendingOrderAnnouncements []string              // back ends whose upcoming orders have yet to be announced in the log
 	inUseSizes                map[string]inuse.Size // by service
-	boundsCheckedAt           time.Duration         // when the set of back ends in use was last checked
+	inUseCheckedAt            time.Duration         // when the set of back ends in use was last checked
 	publishedCount            uint64                // newest roster for which held watches are answered; at most rosterCount
 	publishedAt               time.Duration
 	readyPeak                 int // recent peak of the number of ready engines
