--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -174,10 +174,10 @@
 // logLoadedWeights logs changes of the weights versions that back ends hold, so that the next leader knows them from
 // the start.
 func (r *Replica) logLoadedWeights(now time.Duration) {
-	if now < r.leader.heldLoggedAt+loadedLogInterval {
+	if now < r.leader.loadedLoggedAt+loadedLogInterval {
 		return
 	}
-	r.leader.heldLoggedAt = now
+	r.leader.loadedLoggedAt = now
 	var loaded []catalog.LoadedWeights
 	for _, id := range sortedKeys(r.leader.unlogged) {
 		unlogged := r.unloggedWeights(id)
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -47,7 +47,7 @@
 	fenceRequestedAt          time.Duration
 	fleet                     map[string]*backendState // by instance ID
 	fleetCheckedAt            time.Duration
-	heldLoggedAt              time.Duration // when the weights held by back ends were last checked for changes to log
+	loadedLoggedAt            time.Duration // when the weights held by back ends were last checked for changes to log
 	rolloutStepAt             time.Duration // time of the last rollout step
 	ackedRoster               uint64        // at the last rollout step: roster version in use at every gateway that may still send
 	underCapacity             bool          // at the last rollout step: whether the back ends lacked capacity
