--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -80,9 +80,9 @@
 	case context.Cause(a.ctx) == errWeightsOutdated:
 		cause = causeWeightsOutdated
 	case context.Cause(a.ctx) == errSilent:
-		cause, a.grade = "silent", outcomeFailure
+		cause, a.outcome = "silent", outcomeFailure
 	case a.exchange.ctx.Err() == nil:
-		a.grade = outcomeFailure
+		a.outcome = outcomeFailure
 		a.recordFailure()
 	}
 	return result{kind: resultUnknown, cause: cause}
@@ -91,13 +91,13 @@
 // invalidResponse ends an attempt whose response is inconsistent with the request. The connection is not reused.
 func (a *attempt) invalidResponse(cause string) result {
 	_ = a.conn.Close()
-	a.grade = outcomeFailure
+	a.outcome = outcomeFailure
 	return result{kind: resultUnknown, cause: cause}
 }
 
 // rejected ends an attempt whose back end reported that it did not run the request.
 func (a *attempt) rejected(response *http.Response, info ResponseInfo) result {
-	a.grade = outcomeRejected
+	a.outcome = outcomeRejected
 	rejection := result{kind: resultNotRun, cause: response.Status, retryAfter: info.RetryAfter, backoff: info.Signals.Backoff}
 	_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedResponse))
 	a.releaseConnection(response, err)
@@ -143,9 +143,9 @@
 	}
 	a.releaseConnection(response, nil)
 	isFailure := response.StatusCode >= http.StatusInternalServerError
-	a.grade = outcomeSuccess
+	a.outcome = outcomeSuccess
 	if isFailure {
-		a.grade = outcomeFailure
+		a.outcome = outcomeFailure
 	}
 	if isFailure && x.route.Retryable() && !x.headRelayed && x.takeRetry() {
 		return result{kind: resultFailed, cause: response.Status}
@@ -173,7 +173,7 @@
 		a.recordFailure()
 		x.giveUp(reasonStreamBroken, 0)
 	}
-	a.grade = outcomeSuccess
+	a.outcome = outcomeSuccess
 	a.releaseConnection(response, nil)
 	x.finish(a, response.StatusCode)
 	return result{kind: resultAnswered}
@@ -204,7 +204,7 @@
 // recordServedBy records whose response the caller got, and a successful completion with the quarantine.
 func (x *exchange) recordServedBy(a *attempt) {
 	x.servedBy = a.row.entry.ID
-	if a.grade == outcomeSuccess {
+	if a.outcome == outcomeSuccess {
 		x.recordCompletion()
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -80,7 +80,7 @@
 	startedAt        time.Duration
 	uncached         int
 	plan             candidate
-	grade            attemptOutcome
+	outcome          attemptOutcome
 	unreachable      bool       // the connection could not be established
 	quotaLease       quotaLease // lease on the tenant's limit that the attempt used
 	ctx              context.Context
@@ -180,7 +180,7 @@
 // end records the end of the attempt in the table, and announces the remaining load to the other gateways.
 func (a *attempt) end() {
 	x := a.exchange
-	load := x.gateway.table.end(x.gateway.now(), a, a.grade)
+	load := x.gateway.table.end(x.gateway.now(), a, a.outcome)
 	if a.plan.scheduled == nil {
 		x.gateway.table.observePrefill(a.row, a.plan.engineIdle, a.uncached, a.timeToFirstEvent())
 		x.gateway.table.observeQueueWait(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.timeToFirstEvent(), x.gateway.now()-a.startedAt)
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -223,6 +223,6 @@
 	g := a.exchange.gateway
 	g.schedulers.reportEnd(placed.scheduler, wirePlacementEnd{
 		FirstEventMS: a.timeToFirstEvent().Milliseconds(),
-		PlacementID:  placed.placementID, Gateway: g.shortName, Outcome: a.grade, Unreached: a.unreachable, DurationMS: (g.now() - a.startedAt).Milliseconds(),
+		PlacementID:  placed.placementID, Gateway: g.shortName, Outcome: a.outcome, Unreached: a.unreachable, DurationMS: (g.now() - a.startedAt).Milliseconds(),
 	})
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -146,7 +146,7 @@
 	if !x.headRelayed {
 		x.relayHead(response, -1) // a stream without any event
 	}
-	a.grade = outcomeSuccess
+	a.outcome = outcomeSuccess
 	a.releaseConnection(response, nil)
 	x.finish(a, response.StatusCode)
 	return result{kind: resultAnswered}
