--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -193,14 +193,14 @@
 }
 
 // end records the end and outcome of an attempt, and returns this gateway's remaining load at its back end.
-func (t *table) end(now time.Duration, sent *attempt, grade attemptOutcome) belief.Load {
+func (t *table) end(now time.Duration, sent *attempt, outcome attemptOutcome) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.endWait(sent)
 	own := &sent.row.occupancy.Own
 	*own = own.Minus(sent.load())
-	sent.row.recordOutcome(now, grade)
-	if grade == outcomeSuccess {
+	sent.row.recordOutcome(now, outcome)
+	if outcome == outcomeSuccess {
 		t.recordDuration(sent.row, now-sent.startedAt)
 	}
 	return sent.row.occupancy.Local()
