--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -59,9 +59,9 @@
 	return instances
 }
 
-// TestNewLeaderWaitsOnlyForWhatWasOrdered checks that a new leader waits before it orders an engine that the previous
+// TestNewLeaderDelaysOnlyEnginesAlreadyOrdered checks that a new leader waits before it orders an engine that the previous
 // leader ordered, and orders others as soon as the gateways follow it.
-func TestNewLeaderWaitsOnlyForWhatWasOrdered(t *testing.T) {
+func TestNewLeaderDelaysOnlyEnginesAlreadyOrdered(t *testing.T) {
 	s, ordered, unordered := replaceLeaderAfterOrder(t)
 	if early := s.ordersDuring("g1", 2*time.Second); !slices.Contains(early, unordered) || slices.Contains(early, ordered) {
 		t.Fatalf("ordered %v early; the previous leader ordered %s, and not %s", early, ordered, unordered)
