--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// Each refused request is told to retry after those refused before it.
+// The retry time of each rejected request follows those of the requests rejected before it.
 func TestRetryAfterCountsEarlierRefusals(t *testing.T) {
 	a := NewAllocator(1)
 	a.SetLimits(time.Minute, limitsOf(testLimit))
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -28,7 +28,7 @@
 // Possible outcomes.
 const (
 	Granted      Outcome = iota // the lease may be used once; it is empty if the resource has no limit
-	LimitReached                // RetryAfter tells when to try again
+	LimitReached                // RetryAfter holds when to try again
 	Unavailable                 // the allocator could not be reached and the fallback share is used up
 )
 
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -8,7 +8,7 @@
 //   - An Allocator starts with empty buckets, so it needs to know nothing of its predecessor's grants. Until the
 //     buckets had time to fill, clients may use their equal shares of the reserve.
 //   - A client that cannot reach the allocator may use its equal share of the rate and of a reserve on top of the
-//     limit. The allocator withholds the shares of clients it has not heard from.
+//     limit. The allocator withholds the shares of clients that have not contacted it.
 //
 // Amounts may be of any unit. The package uses no I/O, locks or clock: callers pass the time, which must not run
 // backwards, and serialize their calls.
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -112,7 +112,7 @@
 	}
 	b := a.buckets[item.Name]
 	if b == nil {
-		return Grant{Name: item.Name, Amount: item.Amount} // the limit was removed; the client has not been told yet
+		return Grant{Name: item.Name, Amount: item.Amount} // the limit was removed; the client does not know yet
 	}
 	b.refill(now, a.withheld)
 	capacity := b.limit.capacity()
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -45,7 +45,7 @@
 	term             uint64
 	electedAt        time.Duration
 	clients          []*Client
-	lastContact      []time.Duration // when an allocator last heard from each client
+	lastContact      []time.Duration // when each client last contacted an allocator
 	pausedUntil      []time.Duration
 	partitionedUntil []time.Duration // until when each client cannot reach the allocator
 	leases           [][]Lease       // taken and not used yet
--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -1,5 +1,5 @@
 // Package catalog implements the replicated state of a gateway fleet: the routing document, the registered backend
-// instances, the published weights versions and the fencing token of weights commands.
+// instances, the published weights versions and the fencing token of weights orders.
 //
 // Machine is a deterministic state machine that reads no clock: replicas that apply the same commands in the same order
 // hold the same state.
@@ -53,7 +53,7 @@
 type Service struct {
 	Name            string  `json:"name"`
 	HealthPath      string  `json:"health_path"`
-	Engine          bool    `json:"engine"`         // keeps prompt caches and accepts weights commands
+	Engine          bool    `json:"engine"`         // keeps prompt caches and accepts weights orders
 	Slots           int     `json:"slots"`          // concurrent requests per backend; 0 if unknown
 	CacheTokens     int     `json:"cache_tokens"`   // cache capacity per backend in tokens; 0 if unknown
 	KVBytesPerToken float64 `json:"token_bytes"`    // size of a cached token; 0 if unknown
--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -83,7 +83,7 @@
 		for startedMS := range int64(4) {
 			instance := Instance{ID: Incarnation{Name: name, StartedMS: startedMS}.ID(), Service: "s"}
 			if m.Accepts(instance) != restored.Accepts(instance) || m.MayHaveWeightsOrder(instance.ID) != restored.MayHaveWeightsOrder(instance.ID) {
-				t.Fatalf("%s: accepted %t, may have weights command %t; differs after restoring the snapshot", instance.ID, m.Accepts(instance), m.MayHaveWeightsOrder(instance.ID))
+				t.Fatalf("%s: accepted %t, may have weights order %t; differs after restoring the snapshot", instance.ID, m.Accepts(instance), m.MayHaveWeightsOrder(instance.ID))
 			}
 		}
 	}
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -44,7 +44,7 @@
 	PublishWeights      *WeightsVersion   `json:"version,omitempty"` // new version of a model's weights
 	Fence               bool              `json:"fence,omitempty"`   // issue a new fencing token
 	Loaded              []LoadedWeights   `json:"held,omitempty"`    // weights that instances reported as loaded
-	WeightsOrderTargets []string          `json:"order,omitempty"`   // ids of instances about to be sent weights commands
+	WeightsOrderTargets []string          `json:"order,omitempty"`   // ids of instances about to be sent weights orders
 	ReplaceGateways     []string          `json:"gates,omitempty"`   // all gateways that poll the leader
 	MaxHashWeights      map[string]uint64 `json:"bounds,omitempty"`  // by service: highest hash weight in use
 	AddGateways         []string          `json:"came,omitempty"`    // gateways that started to poll the leader
@@ -89,7 +89,7 @@
 	latestVersions map[string]uint64
 	publications   map[string][]Publication     // by model, ascending by version; the last one is the latest version
 	loaded         map[string]map[string]uint64 // by registered instance and model; versions never decrease
-	ordered        map[string]bool              // see MayHaveWeightsCommand; only registered instances
+	ordered        map[string]bool              // see MayHaveWeightsOrder; only registered instances
 	gateways       []string                     // gateways that poll the leader, sorted
 	gatewaySet     map[string]bool              // set of gateways
 	maxHashWeights map[string]uint64            // by service; no entry if all backends are in use
@@ -148,10 +148,10 @@
 func (m *Machine) LatestVersions() map[string]uint64 { return m.latestVersions }
 
 // LoadedVersions returns the highest weights version by model that an instance was known to have loaded. It may have
-// loaded others since: newer ones, or older ones after a delayed command. Callers must not modify the map.
+// loaded others since: newer ones, or older ones after a delayed order. Callers must not modify the map.
 func (m *Machine) LoadedVersions(id string) map[string]uint64 { return m.loaded[id] }
 
-// MayHaveWeightsOrder reports whether an instance or its predecessor may have been sent a weights command.
+// MayHaveWeightsOrder reports whether an instance or its predecessor may have been sent a weights order.
 func (m *Machine) MayHaveWeightsOrder(id string) bool { return m.ordered[id] }
 
 // Gateways returns the sorted names of the gateways that poll the leader. Callers must not modify the slice.
@@ -247,7 +247,7 @@
 		ordered := m.ordered[previous.ID]
 		m.delete(previous.ID)
 		if ordered {
-			m.ordered[instance.ID] = true // a command in flight is addressed to the backend, not to the incarnation
+			m.ordered[instance.ID] = true // an order in flight is addressed to the backend, not to the incarnation
 		}
 	}
 	if known && existing.State == StateDraining {
@@ -291,7 +291,7 @@
 	delete(m.ordered, id)
 }
 
-// recordWeightsOrders records registered instances that are about to be sent weights commands.
+// recordWeightsOrders records registered instances that are about to be sent weights orders.
 func (m *Machine) recordWeightsOrders(ids []string) {
 	for _, id := range ids {
 		if _, known := m.instances[id]; known {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -108,8 +108,8 @@
 	return true
 }
 
-// recordHeartbeat updates the in-memory state of a back end. Heartbeats may be reordered; an older one only counts as a
-// sign of life.
+// recordHeartbeat updates the in-memory state of a back end. Heartbeats may be reordered; an older one only shows
+// that the back end is alive.
 func (r *Replica) recordHeartbeat(now time.Duration, heartbeat BackendHeartbeat) {
 	state := r.ensureBackend(now, heartbeat.Instance.ID)
 	state.heardAt = now
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -47,7 +47,7 @@
 	fenceRequestedAt          time.Duration
 	fleet                     map[string]*backendState // by instance ID
 	fleetCheckedAt            time.Duration
-	loadedLoggedAt            time.Duration // when the weights held by back ends were last checked for changes to log
+	loadedLoggedAt            time.Duration // when the weights loaded by back ends were last checked for changes to log
 	rolloutStepAt             time.Duration // time of the last rollout step
 	ackedRoster               uint64        // at the last rollout step: roster version in use at every gateway that may still send
 	underCapacity             bool          // at the last rollout step: whether the back ends lacked capacity
@@ -170,7 +170,7 @@
 }
 
 // formed reports whether the group has ever reached its configured size. Before that it accepts no changes, since they
-// would be lost with the founder.
+// would be lost with the only member.
 func (r *Replica) formed() bool {
 	return r.machine.settings.Version() > 0 || r.machine.catalog.Document().Revision > 0 || len(r.machine.sessions) > 0 ||
 		r.node.Membership().Voters() >= r.config.Replicas
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// TestNewLeaderReportsAllGateways guards against a new leader that counts only the gateways it has heard from: the
+// TestNewLeaderReportsAllGateways guards against a new leader that counts only the gateways that have contacted it: the
 // first ones would then use too large a fallback share.
 func TestNewLeaderReportsAllGateways(t *testing.T) {
 	s := openFleetWithQuota(t)
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -39,7 +39,7 @@
 	return f.Sequence < other.Sequence
 }
 
-// Order tells one incarnation of an engine to load weights.
+// Order is an order to one incarnation of an engine to load weights.
 type Order struct {
 	Engine      string `json:"engine"`
 	Incarnation uint64 `json:"incarnation"`
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -14,7 +14,7 @@
 )
 
 // Request is a request to a control replica, from a router, gateway, back end, operator or another replica. Exactly one
-// field is set, except that Beats and Signs may come together.
+// field is set, except that BackendHeartbeats and Keepalives may come together.
 type Request struct {
 	Heartbeat         *Heartbeat         `json:"heartbeat,omitempty"`
 	Claim             *ledger.Claim      `json:"claim,omitempty"`
@@ -23,7 +23,7 @@
 	Read              *Read              `json:"read,omitempty"`
 	Status            *StatusRequest     `json:"status,omitempty"`
 	Join              *consensus.Member  `json:"join,omitempty"`
-	Catalog           *catalog.Command   `json:"catalog,omitempty"` // changes the document, a named version or the quarantine
+	Catalog           *catalog.Command   `json:"catalog,omitempty"` // changes the document, the published weights or the quarantine
 	BackendHeartbeat  *BackendHeartbeat  `json:"beat,omitempty"`
 	BackendHeartbeats []BackendHeartbeat `json:"beats,omitempty"` // full heartbeats of back ends, forwarded by a replica
 	Keepalives        []Keepalive        `json:"signs,omitempty"` // unchanged heartbeats of back ends, forwarded by a replica
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// joinOrFound joins a replica with an empty data folder to an existing group, as a learner. If there is none, it founds
-// a group, provided that this replica is the first founder and all other founders have answered that they have no state.
+// joinOrFound joins a replica with an empty data folder to an existing group, as a learner. If there is none, it creates
+// a group, provided that this replica is the first initial member and all others have answered that they have no state.
 func (s *Server) joinOrFound(ctx context.Context) {
 	for {
 		groupExists, othersEmpty := s.probeFounders(ctx)
@@ -130,7 +130,7 @@
 	return true
 }
 
-// rejoinWhileLeaderless asks to join as a learner while this replica hears no leader, since the group may have replaced
+// rejoinWhileLeaderless asks to join as a learner while this replica knows no leader, since the group may have replaced
 // it during an outage. The request has no effect for a member.
 func (s *Server) rejoinWhileLeaderless(ctx context.Context) {
 	transport.Every(ctx, rejoinInterval, func() {
@@ -140,7 +140,7 @@
 	})
 }
 
-// hasStateWithoutLeader reports whether this replica has state but hears no leader.
+// hasStateWithoutLeader reports whether this replica has state but knows no leader.
 func (s *Server) hasStateWithoutLeader() bool {
 	return s.queryReplica(func(replica *Replica) bool {
 		return replica.Node().LastIndex() > 0 && replica.Node().LeaderSilent(s.now())
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -50,7 +50,7 @@
 	nextStepAt      time.Duration // when the next step is due or the current phase times out
 	model           string
 	version         uint64        // to be loaded by the current update
-	announcedRoster uint64        // roster version that tells gateways to send no new requests
+	announcedRoster uint64        // first roster version in which gateways send it no new requests
 	drainUntil      time.Duration // when the order is sent even if requests still run
 	orderedAt       time.Duration
 	acceptedAt      time.Duration // when the order was accepted; 0 if unknown
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -59,7 +59,7 @@
 	cause  string       // why the request failed
 }
 
-// HelloReply tells a replica with an empty data folder whether the answering founder already has state.
+// HelloReply tells a replica with an empty data folder whether the answering replica already has state.
 type HelloReply struct {
 	HasState bool `json:"has_state"`
 }
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -53,7 +53,7 @@
 	Text  string
 }
 
-// RunStatus tells whether a request that failed was executed by a back end.
+// RunStatus states whether a back end executed a request that failed.
 type RunStatus string
 
 // Values of RunStatus.
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -105,7 +105,7 @@
 	BackendNotAtFault bool // AttemptRefused: the back end answered or was not contacted; not a connection failure
 }
 
-// EventPushback carries what a back end's answer says of the back end itself. It is applied even when the attempt has
+// EventPushback carries what a back end's response states about the back end itself. It is applied even when the attempt has
 // already ended.
 type EventPushback struct {
 	Name        string
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -12,7 +12,7 @@
 	return catalog.Incarnation{Name: name, StartedMS: int64(incarnation)}
 }
 
-// observePushback records what a back end says of itself.
+// observePushback records what a back end states about itself.
 func (c *Core) observePushback(event EventPushback) {
 	c.pushback.Observe(c.now, time.Time{}, backendIncarnation(event.Name, event.Incarnation), event.Signals, c.random.Float64())
 	c.membershipDirty = c.membershipDirty || event.Signals.Draining
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -244,7 +244,7 @@
 		return causeDraining
 	}
 	if a.row.entry.Loading {
-		return "loading" // the weights command may reach the engine first, as control doesn't know of the request yet
+		return "loading" // the weights order may reach the engine first, as control doesn't know of the request yet
 	}
 	if x.gateway.startsTooLate(now, &a.plan, x.service, x.call.Model) {
 		return causeWeightsOutdated
--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -56,7 +56,7 @@
 		n.Update(19*time.Second, 19*time.Second, 1, wantedVersion(2, 9*time.Second))
 		checkOldest(t, n, 1, 10*time.Second)
 	})
-	// A gateway that switches replicas hears from a leader, its successor and the first again.
+	// A gateway that switches replicas gets replies from a leader, its successor and the first again.
 	t.Run("alternating leaders", func(t *testing.T) {
 		n := NewPublishTimes(guard.Set{})
 		n.Update(10*time.Second, 10*time.Second, 2, wantedVersion(2, 4*time.Second))
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -247,7 +247,7 @@
 		cost += silentCost
 	}
 	if row.entry.Silent && row.failures > 0 {
-		cost += avoidCost // neither control nor this gateway has heard from it since
+		cost += avoidCost // neither control nor this gateway has had a sign of it since
 	}
 	if now < row.entryAt+row.entry.ColdLeft {
 		cost += coldCost
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -27,7 +27,7 @@
 	// cacheListInterval is the minimum time between two listings of one engine's cache, since they block the engine's
 	// work.
 	cacheListInterval = 2 * time.Second
-	// cacheAliveInterval is how often a gateway tells the others that it reads an engine's cache events.
+	// cacheAliveInterval is how often a gateway announces to the others that it reads an engine's cache events.
 	cacheAliveInterval = time.Second
 )
 
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -94,7 +94,7 @@
 		g, _ := fresh()
 		chosen := chosenAttempt(g)
 		if bar := chosen.recheckConditions(); bar != "" {
-			t.Fatalf("barred before publication: %s", bar)
+			t.Fatalf("restricted before publication: %s", bar)
 		}
 		publishVersion(g, 2, time.Minute)
 		if chosen.recheckConditions() == "" {
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -46,7 +46,7 @@
 	LimitAgeMS int64    `json:"a,omitempty"`
 }
 
-// wirePlacementEnd tells a scheduler how a request ended that it placed.
+// wirePlacementEnd reports to a scheduler how a request that it placed ended.
 type wirePlacementEnd struct {
 	PlacementID  string         `json:"i"`
 	Gateway      string         `json:"g"`
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -47,7 +47,7 @@
 	unparsedLimit string // a limit that cannot be parsed
 }
 
-// handlePushback applies and logs the signals of a response, and tells other gateways what changed.
+// handlePushback applies and logs the signals of a response, and announces what changed to other gateways.
 func (g *Gateway) handlePushback(row *endpoint, response responsePushback) {
 	if response.signals.IsEmpty() && response.unparsedBackoff == "" && response.unparsedLimit == "" {
 		return
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -59,7 +59,7 @@
 }
 
 // recordUnreachable records a failed connection, and reports whether the back end was not avoided before, so that other
-// gateways are to be told.
+// gateways are to be notified.
 func (t *table) recordUnreachable(now time.Duration, row *endpoint) (newlyAvoided bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -33,12 +33,12 @@
 	ConfirmedView            Guard = "confirmed-view"        // gateways are answered only under the leader lease
 	DrainCommitted           Guard = "drain-committed"       // draining is acknowledged only after a majority stored it
 	DrainBeforeWeightsChange Guard = "turn-away-first"       // weights change only after dispatching stopped
-	WeightsOrderDelay        Guard = "order-pause"           // a new leader waits before its first weights command
-	DropLateOrders           Guard = "late-calls-dropped"    // commands decided before a long sync are dropped
+	WeightsOrderDelay        Guard = "order-pause"           // a new leader waits before its first weights order
+	DropLateOrders           Guard = "late-calls-dropped"    // orders decided before a long sync are dropped
 	HighestRevision          Guard = "highest-revision"      // a document replaces only one of a lower revision
 	QuarantineCheck          Guard = "held-back"             // quarantined requests are not dispatched
 	SuspendAwareClock        Guard = "suspension-counts"     // clocks include the time that the machine was suspended
-	RelayConfirmed           Guard = "relay-confirmed"       // relayed answers need the leader.s confirmation
+	RelayConfirmed           Guard = "relay-confirmed"       // relayed answers need the leader's confirmation
 	RelayReported            Guard = "relay-reported"        // the leader knows the gateways that replicas answer
 	RelayApplied             Guard = "relay-applied"         // relayed answers include what the leader had applied
 	PublicationTimeFromLog   Guard = "naming-agreed"         // the age of weights is computed from the log
--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -20,7 +20,7 @@
 // longest window in which limits are checked.
 const MinRate = 0.25
 
-// IsEmpty reports whether the response says nothing about a limit.
+// IsEmpty reports whether the response states no limit.
 func (l Limit) IsEmpty() bool { return !l.Advertised && !l.Withdrawn }
 
 // ObserveLimit records a limit that an incarnation advertised at the given time and reports whether the known limit
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// fingerprintBytes keeps the probability of a collision during the life of a fleet below 10^-20.
+	// fingerprintBytes keeps the probability of a collision over the lifetime of a fleet below 10^-20.
 	fingerprintBytes = 16
 	// SeedBytes is the length of the secret key of fingerprints.
 	SeedBytes = 32
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// SuspectThreshold is the number of crashes from which processes are told of a request: unrelated crashes rarely
+	// SuspectThreshold is the number of crashes from which control lists a request to processes: unrelated crashes rarely
 	// hit one request twice.
 	SuspectThreshold = 2
 	// QuarantineThreshold is the number of crashes from which a request is quarantined. Two may be a coincidence when
@@ -45,7 +45,7 @@
 	Reason   Reason        `json:"why"`
 }
 
-// Reason tells why requests are released.
+// Reason is why requests are released.
 type Reason string
 
 // Reasons for a release.
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -32,7 +32,7 @@
 	maxLoggedFingerprints = 8
 )
 
-// Proof tells how the end of an incarnation was confirmed.
+// Proof is how the end of an incarnation was confirmed.
 type Proof string
 
 // Possible proofs.
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -67,7 +67,7 @@
 	return heartbeat
 }
 
-// ReplyActions tells the caller what to do after a reply.
+// ReplyActions is what the caller must do after a reply.
 type ReplyActions struct {
 	ToSync          *Settings       // to sync, then pass to MarkSynced and the core; nil if unchanged
 	Lease           core.EventLease // to pass to the core, after ToSync
