--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -155,7 +155,7 @@
 // Applied returns the index of the last applied entry.
 func (r *Replica) Applied() uint64 { return r.applied }
 
-// Tick runs the timers. unixMS is the wall clock, used only for retention, history and the age of published weights versions.
+// Tick runs the timers. unixMS is the wall clock, used only for retention, history and the age of published weights.
 func (r *Replica) Tick(now time.Duration, unixMS int64) {
 	if r.stopErr != nil {
 		return
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -105,8 +105,8 @@
 	BackendNotAtFault bool // AttemptRefused: the back end answered or was not contacted; not a connection failure
 }
 
-// EventPushback carries what a back end's response states about the back end itself. It is applied even when the attempt has
-// already ended.
+// EventPushback carries what a back end's response states about the back end itself. It is applied even when the attempt
+// has already ended.
 type EventPushback struct {
 	Name        string
 	Incarnation uint64 // of the back end that answered; the one addressed if the answer does not tell
