--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -80,10 +80,10 @@
 	}
 }
 
-// joinOrFound joins a replica with an empty data folder to an existing group, as a learner. If there is none, it
+// joinOrCreateGroup joins a replica with an empty data folder to an existing group, as a learner. If there is none, it
 // creates a group, provided that this replica is the first initial member and all others have answered that they have
 // no state.
-func (s *Server) joinOrFound(ctx context.Context) {
+func (s *Server) joinOrCreateGroup(ctx context.Context) {
 	for {
 		groupExists, othersEmpty := s.probeFounders(ctx)
 		switch {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -168,7 +168,7 @@
 	workers.Go(func() { s.refreshMembership(run) })
 	workers.Go(func() { s.rejoinWhileLeaderless(run) })
 	if s.replica.Node().LastIndex() == 0 {
-		workers.Go(func() { s.joinOrFound(run) })
+		workers.Go(func() { s.joinOrCreateGroup(run) })
 	}
 	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.InternalAddress), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldDisabledMechanisms, s.config.Mechanisms.Off()))
 	select {
