--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -85,7 +85,7 @@
 // no state.
 func (s *Server) joinOrCreateGroup(ctx context.Context) {
 	for {
-		groupExists, othersEmpty := s.probeFounders(ctx)
+		groupExists, othersEmpty := s.probeInitialMembers(ctx)
 		switch {
 		case groupExists && s.tryJoin(ctx):
 			return
@@ -101,7 +101,7 @@
 	}
 }
 
-func (s *Server) probeFounders(ctx context.Context) (groupExists, othersEmpty bool) {
+func (s *Server) probeInitialMembers(ctx context.Context) (groupExists, othersEmpty bool) {
 	othersEmpty = true
 	for _, address := range s.file.Control.Founders {
 		if address == s.file.Control.InternalAddress {
