--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -148,8 +148,8 @@
 	})
 }
 
-// foundGroup makes this replica the first voter of a new group.
-func (s *Server) foundGroup() {
+// createGroup makes this replica the first voter of a new group.
+func (s *Server) createGroup() {
 	if s.replica.Node().LastIndex() > 0 {
 		return
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -312,7 +312,7 @@
 		s.logRelayChange(item.relayResult)
 		s.replica.ObserveRelay(now, item.relayResult.number, item.relayResult.reply)
 	case item.foundGroup:
-		s.foundGroup()
+		s.createGroup()
 	case item.inspect != nil:
 		item.inspect(s.replica)
 	case item.batch != nil:
