--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -90,7 +90,7 @@
 		case groupExists && s.tryJoin(ctx):
 			return
 		case !groupExists && othersEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.InternalAddress:
-			s.inputs <- input{foundGroup: true}
+			s.inputs <- input{createGroup: true}
 			return
 		}
 		select {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -45,7 +45,7 @@
 	respond     transport.Respond
 	report      *EngineReport
 	hello       transport.Respond
-	foundGroup  bool
+	createGroup bool
 	inspect     func(*Replica)
 	weights     *WeightsResult
 	relayResult *relayResult
@@ -311,7 +311,7 @@
 	case item.relayResult != nil:
 		s.logRelayChange(item.relayResult)
 		s.replica.ObserveRelay(now, item.relayResult.number, item.relayResult.reply)
-	case item.foundGroup:
+	case item.createGroup:
 		s.createGroup()
 	case item.inspect != nil:
 		item.inspect(s.replica)
