--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -161,7 +161,7 @@
 	if lent := grantedWithin(s, 4*time.Second); lent < 12 || lent > 17 {
 		t.Fatalf("granted %v in 4 s after a document change, want 12 to 17", lent)
 	}
-	if advertised := s.ask(Request{Status: &StatusRequest{}}).Status.Named; len(advertised) != 1 || advertised[0].Limit.Rate != 4 || advertised[0].Refused == 0 {
+	if advertised := s.ask(Request{Status: &StatusRequest{}}).Status.AdvertisedLimits; len(advertised) != 1 || advertised[0].Limit.Rate != 4 || advertised[0].Refused == 0 {
 		t.Fatalf("advertised limits in the status: %+v", advertised)
 	}
 	_ = s.disk.Close()
@@ -176,7 +176,7 @@
 	}
 	next.advance(20 * time.Second)
 	next.requestShare("g1", 1)
-	if advertised := next.ask(Request{Status: &StatusRequest{}}).Status.Named; len(advertised) != 0 {
+	if advertised := next.ask(Request{Status: &StatusRequest{}}).Status.AdvertisedLimits; len(advertised) != 0 {
 		t.Fatalf("status shows an advertised limit that is no longer used: %+v", advertised)
 	}
 }
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -112,8 +112,8 @@
 	Routers   []RouterStatus `json:"routers,omitempty"`
 	Engines   []EngineStatus `json:"engines,omitempty"`
 
-	Limits []allowance.State `json:"limits,omitempty"` // fleet-wide limits; from the leader only
-	Named  []allowance.State `json:"named,omitempty"`  // limits advertised by back ends, those with the most rejections; from the leader only
+	Limits           []allowance.State `json:"limits,omitempty"` // fleet-wide limits; from the leader only
+	AdvertisedLimits []allowance.State `json:"named,omitempty"`  // limits advertised by back ends, those with the most rejections; from the leader only
 	// Suspects lists the requests during which more than one back end crashed; from the leader only.
 	Suspects []quarantine.Entry `json:"suspects,omitempty"`
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -57,7 +57,7 @@
 		status.Engines = append(status.Engines, EngineStatus{EngineReport: report, Wanted: wanted})
 	}
 	status.Limits = r.leader.lending.allocator.States(now)
-	status.Named = r.leader.lending.allocator.AdvertisedStates(now, maxAdvertisedInStatus)
+	status.AdvertisedLimits = r.leader.lending.allocator.AdvertisedStates(now, maxAdvertisedInStatus)
 	status.Suspects = r.machine.catalog.Quarantine().Update().Entries
 }
 
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -32,10 +32,10 @@
 		ID: "control-1-aa", Name: "control-1", Role: "leader", Term: 3, Leader: "control-1", LeaseHeld: true, Applied: 91, Version: 7, InForce: 6, Claims: 12,
 		Members: []control.MemberStatus{{Member: consensus.Member{ID: "control-1-aa", Name: "control-1", Address: "10.0.0.1:9000"}, Match: 91},
 			{Member: consensus.Member{ID: "control-2-bb", Name: "control-2", Address: "10.0.0.2:9000", Learner: true}, Match: 60, Silent: 1500 * time.Millisecond}},
-		Engines:  []control.EngineStatus{{EngineReport: control.EngineReport{Name: "llm-1", Weights: "w1", Loading: true}, Wanted: "w2"}},
-		Limits:   []allowance.State{{Name: "tenant/north", Limit: allowance.Limit{Rate: 1000, Burst: 500}, Level: 12, Granted: 90_000, Refused: 4000, OverLimit: true, Withheld: 0.25}},
-		Named:    []allowance.State{{Name: "back-end/llm-1", Limit: allowance.Limit{Rate: 3.8, Burst: 2}, Level: 0.4, Granted: 310, Refused: 92}},
-		Suspects: []quarantine.Entry{{Request: quarantine.Fingerprint{1}, Incarnations: []string{"i-1", "i-2", "i-3"}}, {Request: quarantine.Fingerprint{2}, Incarnations: []string{"i-2", "i-4"}}},
+		Engines:          []control.EngineStatus{{EngineReport: control.EngineReport{Name: "llm-1", Weights: "w1", Loading: true}, Wanted: "w2"}},
+		Limits:           []allowance.State{{Name: "tenant/north", Limit: allowance.Limit{Rate: 1000, Burst: 500}, Level: 12, Granted: 90_000, Refused: 4000, OverLimit: true, Withheld: 0.25}},
+		AdvertisedLimits: []allowance.State{{Name: "back-end/llm-1", Limit: allowance.Limit{Rate: 3.8, Burst: 2}, Level: 0.4, Granted: 310, Refused: 92}},
+		Suspects:         []quarantine.Entry{{Request: quarantine.Fingerprint{1}, Incarnations: []string{"i-1", "i-2", "i-3"}}, {Request: quarantine.Fingerprint{2}, Incarnations: []string{"i-2", "i-4"}}},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+control.PathAdmin, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -89,9 +89,9 @@
 // them.
 func writeLimits(w *tabwriter.Writer, status SystemStatus) {
 	for _, reply := range status.Control {
-		if reply.LeaseHeld && len(reply.Named) > 0 {
+		if reply.LeaseHeld && len(reply.AdvertisedLimits) > 0 {
 			fmt.Fprintln(w, "LIMIT NAMED BY\tA SECOND\tLEFT\tLENT\tREFUSED")
-			for _, state := range reply.Named {
+			for _, state := range reply.AdvertisedLimits {
 				fmt.Fprintf(w, "%s\t%.2f\t%.1f\t%.0f\t%.0f\n", state.Name, state.Limit.Rate, state.Level, state.Granted, state.Refused)
 			}
 		}
