--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -10,12 +10,12 @@
 type recomputeCause string
 
 const (
-	recomputeFirst          recomputeCause = "first"           // not sent anywhere recently
-	recomputeLost           recomputeCause = "lost"            // sent recently, but all known holders ended or evicted them
-	recomputeOtherWeights   recomputeCause = "other-weights"   // the holders computed them with other weights
-	recomputeHolderBarred   recomputeCause = "holder-barred"   // the holders are avoided, loading weights, or use another salt
-	recomputeCheaper        recomputeCause = "dearer"          // a copy would cost more
-	recomputeWeightsUnknown recomputeCause = "weights-unknown" // nothing is shared while the engine's weights are unknown
+	recomputeFirst              recomputeCause = "first"           // not sent anywhere recently
+	recomputeLost               recomputeCause = "lost"            // sent recently, but all known holders ended or evicted them
+	recomputeOtherWeights       recomputeCause = "other-weights"   // the holders computed them with other weights
+	recomputeHoldersUnavailable recomputeCause = "holder-barred"   // the holders are avoided, loading weights, or use another salt
+	recomputeCheaper            recomputeCause = "dearer"          // a copy would cost more
+	recomputeWeightsUnknown     recomputeCause = "weights-unknown" // nothing is shared while the engine's weights are unknown
 )
 
 const (
@@ -64,7 +64,7 @@
 		return recomputeFirst
 	}
 	if len(g.table.holders[last]) > 0 {
-		return recomputeHolderBarred
+		return recomputeHoldersUnavailable
 	}
 	return recomputeLost
 }
--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -23,7 +23,7 @@
 		{"never sent", candidate{version: version, recomputed: 1000}, nil, 0, nil, recomputeFirst},
 		{"sent long ago", candidate{version: version, recomputed: 1000}, nil, 2 * lastSentTTL, nil, recomputeFirst},
 		{"no holder left", candidate{version: version, recomputed: 1000}, nil, time.Second, nil, recomputeLost},
-		{"holder barred", candidate{version: version, recomputed: 1000}, nil, time.Second, []*endpoint{{}}, recomputeHolderBarred},
+		{"holder barred", candidate{version: version, recomputed: 1000}, nil, time.Second, []*endpoint{{}}, recomputeHoldersUnavailable},
 		{"holder has other weights", candidate{version: version, recomputed: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, recomputeOtherWeights},
 		{"others have no more tokens", candidate{version: version, recomputed: 400}, []source{{version: version - 1, tokens: 600}}, time.Second, nil, recomputeLost},
 		{"copy costs more", candidate{version: version, recomputed: 1000, copyCostsMore: true}, nil, time.Second, nil, recomputeCheaper},
