--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -93,8 +93,8 @@
 	t.Run("version published after the decision", func(t *testing.T) {
 		g, _ := fresh()
 		chosen := chosenAttempt(g)
-		if bar := chosen.recheckConditions(); bar != "" {
-			t.Fatalf("restricted before publication: %s", bar)
+		if cause := chosen.recheckConditions(); cause != "" {
+			t.Fatalf("restricted before publication: %s", cause)
 		}
 		publishVersion(g, 2, time.Minute)
 		if chosen.recheckConditions() == "" {
