--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -231,8 +231,8 @@
 func TestPeerPushback(t *testing.T) {
 	applyPeerPushback := func(signals pushback.Signals) (g *Gateway, chosen map[string]int) {
 		g = newScheduler(2)
-		heard := announcement{Gateway: "other", Instance: "i-0", Signals: signals}
-		g.table.applySends(g.now(), []announcement{heard.toWire(0).announcement()})
+		peerUpdate := announcement{Gateway: "other", Instance: "i-0", Signals: signals}
+		g.table.applySends(g.now(), []announcement{peerUpdate.toWire(0).announcement()})
 		chosen = map[string]int{}
 		x := newModelRequest(g)
 		for range 20 {
