--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -231,8 +231,8 @@
 	g := newScheduler(1)
 	g.now = func() time.Duration { return now }
 	applyPeerLimit := func(age time.Duration, limit pushback.Limit) {
-		heard := announcement{Gateway: "other", Instance: "i-0", Age: age, Signals: pushback.Signals{Limit: limit}}
-		g.table.applySends(now, []announcement{heard.toWire(0).announcement()})
+		peerUpdate := announcement{Gateway: "other", Instance: "i-0", Age: age, Signals: pushback.Signals{Limit: limit}}
+		g.table.applySends(now, []announcement{peerUpdate.toWire(0).announcement()})
 	}
 	rate := func() float64 {
 		limit, _ := g.table.advertisedLimit(now, g.table.rows["i-0"])
