--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -109,13 +109,13 @@
 	g := newScheduler(1)
 	g.table.setAssigned([]string{"i-0"})
 	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s", Engine: true}, {Name: "plain"}}}))
-	news := &control.RosterUpdate{}
+	update := &control.RosterUpdate{}
 	for i := range 8 {
-		news.Entries = append(news.Entries, control.RosterEntry{
+		update.Entries = append(update.Entries, control.RosterEntry{
 			Instance: catalog.Instance{ID: fmt.Sprint("p-", i), Service: "plain", Zone: "z", Slots: 6, State: catalog.StateReady},
 		})
 	}
-	g.table.applyRoster(0, news, nil)
+	g.table.applyRoster(0, update, nil)
 	g.table.applySends(time.Second, []announcement{{Gateway: "other", Instance: "p-0", Load: belief.Load{Running: 40}}})
 	used := map[string]int{}
 	for i := range 42 {
