--- a/internal/gateway/lastlook_test.go
+++ b/internal/gateway/lastlook_test.go
@@ -21,13 +21,13 @@
 		t.Run(what, func(t *testing.T) {
 			g := newScheduler(1)
 			chosen := chosenAttempt(g)
-			news := &control.RosterUpdate{Full: true}
+			update := &control.RosterUpdate{Full: true}
 			if change != nil {
 				entry := g.table.rows["i-0"].entry
 				change(&entry)
-				news.Entries = []control.RosterEntry{entry}
+				update.Entries = []control.RosterEntry{entry}
 			}
-			g.table.applyRoster(g.now(), news, nil)
+			g.table.applyRoster(g.now(), update, nil)
 			if bar := chosen.recheckConditions(); (bar == "") != (what == "unchanged") {
 				t.Fatalf("restriction %q", bar)
 			}
