--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -29,14 +29,14 @@
 	g := New(Settings{Name: "s", Zone: "z", OldWeightsStartLimit: time.Minute, ViewTTL: time.Hour}, nil, log)
 	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s", Engine: true, CacheTokens: 80_000}}}))
 	g.confirmedAt.Store(1)
-	news := &control.RosterUpdate{Full: true}
+	update := &control.RosterUpdate{Full: true}
 	for i := range engines {
-		news.Entries = append(news.Entries, control.RosterEntry{
+		update.Entries = append(update.Entries, control.RosterEntry{
 			Instance: catalog.Instance{ID: fmt.Sprint("i-", i), Service: "s", Address: fmt.Sprint("10.0.0.", i), Zone: "z", Slots: 16, State: catalog.StateReady},
 			Versions: map[string]uint64{"m": 1},
 		})
 	}
-	g.table.applyRoster(0, news, nil)
+	g.table.applyRoster(0, update, nil)
 	return g
 }
 
