--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -328,14 +328,14 @@
 func TestSourcesPreferDeepestHolder(t *testing.T) {
 	const engines = 200
 	g := &Gateway{settings: Settings{Zone: "z", OldWeightsStartLimit: time.Second}, table: newTable(mechanism.Set{})}
-	news := &control.RosterUpdate{Full: true}
+	update := &control.RosterUpdate{Full: true}
 	for i := range engines {
-		news.Entries = append(news.Entries, control.RosterEntry{
+		update.Entries = append(update.Entries, control.RosterEntry{
 			Instance: catalog.Instance{ID: fmt.Sprint(i), Service: "s", Address: fmt.Sprint(i), State: catalog.StateReady},
 			Versions: map[string]uint64{"m": 1},
 		})
 	}
-	g.table.applyRoster(0, news, nil)
+	g.table.applyRoster(0, update, nil)
 	preamble, dossier, own := prefix.Part{ID: "p", Tokens: 2500}, prefix.Part{ID: "d", Tokens: 3800}, prefix.Part{ID: "o", Tokens: 10}
 	for i := range engines {
 		parts := []prefix.Part{preamble, {ID: fmt.Sprint("other", i), Tokens: 100}, own}
