--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -45,7 +45,7 @@
 // other gateways.
 func TestUnreachableIsReportedOnce(t *testing.T) {
 	tb, e := newTable(mechanism.Set{}), &endpoint{}
-	if news := tb.recordUnreachable(time.Second, e); !news {
+	if newlyAvoided := tb.recordUnreachable(time.Second, e); !newlyAvoided {
 		t.Fatal("the first failure is not reported")
 	}
 	if news := tb.recordUnreachable(time.Second+unreachableAvoidance/2, e); news {
