--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -48,7 +48,7 @@
 	if newlyAvoided := tb.recordUnreachable(time.Second, e); !newlyAvoided {
 		t.Fatal("the first failure is not reported")
 	}
-	if news := tb.recordUnreachable(time.Second+unreachableAvoidance/2, e); news {
+	if newlyAvoided := tb.recordUnreachable(time.Second+unreachableAvoidance/2, e); newlyAvoided {
 		t.Fatal("a failure of an avoided back end is reported")
 	}
 	if news := tb.recordUnreachable(time.Minute, e); !news {
