--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -51,7 +51,7 @@
 	if newlyAvoided := tb.recordUnreachable(time.Second+unreachableAvoidance/2, e); newlyAvoided {
 		t.Fatal("a failure of an avoided back end is reported")
 	}
-	if news := tb.recordUnreachable(time.Minute, e); !news {
+	if newlyAvoided := tb.recordUnreachable(time.Minute, e); !newlyAvoided {
 		t.Fatal("a failure after the avoidance is not reported")
 	}
 }
