--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -12,7 +12,7 @@
 func openWithEngines(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openSingleReplica(t, t.TempDir())
-	s.changeConfig(func(config *Config) { config.OrderWait = time.Second })
+	s.changeConfig(func(config *Config) { config.WeightsOrderDelay = time.Second })
 	s.advance(2 * time.Second) // until views confirmed by an earlier leader have expired
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
 	s.sendHeartbeats("i-1", "i-2")
@@ -134,7 +134,7 @@
 	var last uint64
 	for restart := range 3 {
 		s := openSingleReplica(t, dir)
-		s.changeConfig(func(config *Config) { config.OrderWait = time.Second })
+		s.changeConfig(func(config *Config) { config.WeightsOrderDelay = time.Second })
 		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: uint64(restart + 2)}}})
 		s.advance(time.Second)
 		if s.replica.leader.orderFence <= last {
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -115,7 +115,7 @@
 // order may be sent up to maxOrderAge after its announcement.
 func (r *Replica) handoverPauseOver(now time.Duration, id string) bool {
 	at, ordered := r.lastForeignOrder(id)
-	return !ordered || now >= at+maxOrderAge+r.config.OrderWait || !r.config.Guards.On(guard.WeightsOrderDelay)
+	return !ordered || now >= at+maxOrderAge+r.config.WeightsOrderDelay || !r.config.Guards.On(guard.WeightsOrderDelay)
 }
 
 // queueOrderAnnouncement queues the announcement of an order to a back end. Announcements queued in one cycle share a
--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -11,7 +11,7 @@
 // the next incarnation may accept it. It includes a replica that knows of the order only from a snapshot.
 func TestNextIncarnationKeepsOrderPause(t *testing.T) {
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.OrderWait = 5 * time.Second })
+	s.changeConfig(func(config *Config) { config.WeightsOrderDelay = 5 * time.Second })
 	first, second := incarnationID("e", 1000), incarnationID("e", 2000)
 	s.sendHeartbeat(first, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{WeightsOrderTargets: []string{first}}})
@@ -21,7 +21,7 @@
 	}
 	orderedAt := s.now
 	s.sendHeartbeat(second, "a1", 1, 1)
-	if s.replica.handoverPauseOver(orderedAt+s.replica.config.OrderWait, second) {
+	if s.replica.handoverPauseOver(orderedAt+s.replica.config.WeightsOrderDelay, second) {
 		t.Fatal("the next incarnation may be ordered within the pause")
 	}
 	clear(s.replica.orderMarks)
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	next = reopenUnelected(t, s.folder)
-	next.changeConfig(func(config *Config) { config.OrderWait, config.GatewayTrust = 5*time.Second, 3*time.Second })
+	next.changeConfig(func(config *Config) { config.WeightsOrderDelay, config.GatewayTrust = 5*time.Second, 3*time.Second })
 	next.advance(400 * time.Millisecond)
 	return next, ordered, unordered
 }
@@ -112,10 +112,10 @@
 	s.now += time.Hour
 	meta := consensus.SnapshotMeta{Index: s.replica.applied, Term: s.replica.appliedTerm}
 	s.replica.installSnapshot(s.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
-	if s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.OrderWait-time.Millisecond, ordered) {
+	if s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.WeightsOrderDelay-time.Millisecond, ordered) {
 		t.Fatalf("%s may be ordered before the pause is over", ordered)
 	}
-	if !s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.OrderWait, ordered) {
+	if !s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.WeightsOrderDelay, ordered) {
 		t.Fatalf("%s may not be ordered after the pause", ordered)
 	}
 }
@@ -192,8 +192,8 @@
 	mark := s.replica.orderMarks[id]
 	mark.term-- // as seen by the next leader, which applied the same entries at the same times
 	s.replica.orderMarks[id] = mark
-	if early := orderedAt + s.replica.config.OrderWait - time.Millisecond; s.replica.handoverPauseOver(early, id) {
-		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v; the pause is %v", id, orderedAt, mark.appliedAt, early, s.replica.config.OrderWait)
+	if early := orderedAt + s.replica.config.WeightsOrderDelay - time.Millisecond; s.replica.handoverPauseOver(early, id) {
+		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v; the pause is %v", id, orderedAt, mark.appliedAt, early, s.replica.config.WeightsOrderDelay)
 	}
 }
 
@@ -233,7 +233,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := openWithEngines(t)
-			s.changeConfig(func(config *Config) { config.OrderWait = time.Hour })
+			s.changeConfig(func(config *Config) { config.WeightsOrderDelay = time.Hour })
 			s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
 			s.replica.queueOrderAnnouncement(incarnationID("e", 1000))
 			s.advance(100 * time.Millisecond)
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -26,7 +26,7 @@
 	SettingsLease     time.Duration // duration of the settings lease of a router
 	RepairAfter       time.Duration // how long a voter may be unreachable before a learner replaces it
 	SnapshotEvery     uint64        // minimum number of applied entries between snapshots
-	OrderWait         time.Duration // how long a new leader waits before its first weights order
+	WeightsOrderDelay time.Duration // how long a new leader waits before its first weights order
 	GatewayTrust      time.Duration // how long a gateway may use a view without a new confirmation
 	Quota             quota.Policy  // terms of the fleet-wide limits
 	Guards            guard.Set
