--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -57,7 +57,7 @@
 // end whose weights change.
 func TestOrderWaitsUntilGatewaysStopSending(t *testing.T) {
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.weightsOrders(200 * time.Millisecond) // answers the weights queries
@@ -76,7 +76,7 @@
 // TestOrderDoesNotWaitForSilentGateways: a gateway that is gone delays orders only until its view has expired.
 func TestOrderDoesNotWaitForSilentGateways(t *testing.T) {
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	s.watchNow("g1", RosterVersion{})
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.weightsOrders(200 * time.Millisecond)
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -14,7 +14,7 @@
 func replaceLeaderAfterOrder(t *testing.T) (next *singleReplica, ordered, unordered string) {
 	t.Helper()
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.advance(gatewayListInterval + 100*time.Millisecond)
 	s.watchNow("g1", version)
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	next = reopenUnelected(t, s.folder)
-	next.changeConfig(func(config *Config) { config.WeightsOrderDelay, config.GatewayTrust = 5*time.Second, 3*time.Second })
+	next.changeConfig(func(config *Config) { config.WeightsOrderDelay, config.GatewayViewTTL = 5*time.Second, 3*time.Second })
 	next.advance(400 * time.Millisecond)
 	return next, ordered, unordered
 }
@@ -124,7 +124,7 @@
 // leader would not wait for it, and the gateway would send to a back end that loads weights.
 func TestWatchConfirmedOnlyAfterGatewayIsLogged(t *testing.T) {
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	confirmed := func(client uint64) bool { return s.replies[client].Watch != nil }
 	holds := func(name string) bool { return slices.Contains(s.replica.machine.catalog.Gateways(), name) }
 	watch := func(client uint64, name string) {
@@ -155,7 +155,7 @@
 // no longer added to the log.
 func TestClosingGatewayIsStillAnswered(t *testing.T) {
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
 	for range 5 {
 		s.watchNow("g2", held)
@@ -170,7 +170,7 @@
 // were sent seconds later without a new announcement, the next leader's order could follow it too soon.
 func TestDelayedOrderIsAnnouncedAgain(t *testing.T) {
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = time.Minute })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = time.Minute })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	watchAndBeat := func(held RosterVersion, duration time.Duration) (orders []WeightsCall, at time.Duration) {
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -108,7 +108,7 @@
 func TestGatewayListIsLoggedAsChanges(t *testing.T) {
 	loggedBytes := func(count int) int {
 		s := openWithEngines(t)
-		s.changeConfig(func(config *Config) { config.GatewayTrust = time.Minute })
+		s.changeConfig(func(config *Config) { config.GatewayViewTTL = time.Minute })
 		bytes := 0
 		for i := range count {
 			before := s.replica.Node().LastIndex()
@@ -132,7 +132,7 @@
 // as it does for one that watches the leader.
 func TestOrderWaitsForRelayedGateways(t *testing.T) {
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust, config.MaxDirectGateways = 3*time.Second, 0 })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL, config.MaxDirectGateways = 3*time.Second, 0 })
 	sendRelayRequest := func(held RosterVersion) *relay.Reply {
 		return s.ask(Request{Relay: &relay.Request{Number: 1, Name: "c2", Zone: "z", Address: "c2", Reports: []relay.Report{{Gateway: "g1", Zone: "z", Roster: held}}}}).Relayed
 	}
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -13,7 +13,7 @@
 func openFleetWithQuota(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	s.setQuota(2, 100)
 	return s
 }
@@ -50,7 +50,7 @@
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
-	next.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	next.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if lent := next.requestShare("g3", 45); lent != 0 {
 		t.Fatalf("a new leader granted %v at once, want 0", lent)
@@ -121,7 +121,7 @@
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
-	next.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	next.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if gateways := next.watchNow("g1", RosterVersion{}).Gateways; gateways != 4 {
 		t.Fatalf("the next leader reports %d gateways to the first one, want 4", gateways)
@@ -166,7 +166,7 @@
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
-	next.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	next.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if lent := grantedWithin(next, 200*time.Millisecond); lent != 0 {
 		t.Fatalf("a new leader granted %v at once, want 0", lent)
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -27,7 +27,7 @@
 	RepairAfter       time.Duration // how long a voter may be unreachable before a learner replaces it
 	SnapshotEvery     uint64        // minimum number of applied entries between snapshots
 	WeightsOrderDelay time.Duration // how long a new leader waits before its first weights order
-	GatewayTrust      time.Duration // how long a gateway may use a view without a new confirmation
+	GatewayViewTTL    time.Duration // how long a gateway may use a view without a new confirmation
 	Quota             quota.Policy  // terms of the fleet-wide limits
 	Guards            guard.Set
 	Mechanisms        mechanism.Set // enabled mechanisms
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -142,7 +142,7 @@
 		Mechanisms: mechanisms, Level: level.Current,
 		ID: s.identity.ID, Name: s.identity.Name, Address: section.InternalAddress, Zone: s.file.Zone, MaxDirectGateways: maxDirectGateways, Timing: timing,
 		Replicas: section.Replicas, SettingsLease: section.SettingsLease, RepairAfter: section.RepairAfter,
-		SnapshotEvery: section.SnapshotEvery, WeightsOrderDelay: section.WeightsOrderDelay, GatewayTrust: section.GatewayViewTTL, Quota: section.Quota.Policy(), Random: rand.Int64N,
+		SnapshotEvery: section.SnapshotEvery, WeightsOrderDelay: section.WeightsOrderDelay, GatewayViewTTL: section.GatewayViewTTL, Quota: section.Quota.Policy(), Random: rand.Int64N,
 	}, nil
 }
 
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -246,7 +246,7 @@
 // viewExpiry returns how long after its last watch a gateway may still trust its view, allowing for a clock that runs
 // slower than ours.
 func (r *Replica) viewExpiry() time.Duration {
-	return r.config.GatewayTrust + r.config.GatewayTrust/leaseMarginDivisor
+	return r.config.GatewayViewTTL + r.config.GatewayViewTTL/leaseMarginDivisor
 }
 
 // ackedRosterCount returns the count of the newest roster that is in use at every gateway that may still send requests;
