--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestNewLeaderRestoresHeldWeightsFromLog guards against a new leader that does not know which weights back ends
+// TestNewLeaderRestoresLoadedWeightsFromLog guards against a new leader that does not know which weights back ends
 // hold until their first heartbeats, so that prefix caches go unused.
-func TestNewLeaderRestoresHeldWeightsFromLog(t *testing.T) {
+func TestNewLeaderRestoresLoadedWeightsFromLog(t *testing.T) {
 	s := openWithEngines(t)
 	s.advance(time.Second)
 	if err := s.disk.Close(); err != nil {
