--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestHeldWeightsRequireRegistration guards against weights recorded for instances that are not or no longer registered.
-func TestHeldWeightsRequireRegistration(t *testing.T) {
+// TestLoadedWeightsRequireRegistration guards against weights recorded for instances that are not or no longer registered.
+func TestLoadedWeightsRequireRegistration(t *testing.T) {
 	machine := catalog.NewMachine()
 	held := catalog.Command{Loaded: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 3}}}}
 	machine.Apply(held)
