--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -138,7 +138,7 @@
 	for model, version := range versions {
 		if state.versions[model] < version {
 			state.versions[model], state.versionsRoseAt = version, now
-			r.leader.unlogged[state.id] = true
+			r.leader.unloggedWeights[state.id] = true
 			changed = true
 		}
 	}
@@ -179,10 +179,10 @@
 	}
 	r.leader.loadedLoggedAt = now
 	var loaded []catalog.LoadedWeights
-	for _, id := range sortedKeys(r.leader.unlogged) {
+	for _, id := range sortedKeys(r.leader.unloggedWeights) {
 		unlogged := r.unloggedWeights(id)
 		if _, known := r.machine.catalog.Instances()[id]; len(unlogged) == 0 && known {
-			delete(r.leader.unlogged, id)
+			delete(r.leader.unloggedWeights, id)
 		}
 		loaded = append(loaded, unlogged...)
 	}
@@ -244,7 +244,7 @@
 	for id, state := range r.leader.fleet {
 		if _, known := instances[id]; !known && now-state.heardAt > silenceTimeout {
 			delete(r.leader.fleet, id)
-			delete(r.leader.unlogged, id)
+			delete(r.leader.unloggedWeights, id)
 		}
 	}
 }
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -64,7 +64,7 @@
 	rosterCount               uint64 // incremented whenever the roster may have changed
 	roster                    roster.Log
 	rosterPending             map[string]bool       // back ends with changes not yet in the roster
-	unlogged                  map[string]bool       // back ends with held weights not yet in the log
+	unloggedWeights           map[string]bool       // back ends with held weights not yet in the log
 	pendingOrderAnnouncements []string              // back ends whose upcoming orders have yet to be announced in the log
 	inUseSizes                map[string]inuse.Size // by service
 	inUseCheckedAt            time.Duration         // when the set of back ends in use was last checked
@@ -100,7 +100,7 @@
 		term:        term, routers: map[string]*routerLease{},
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
 		startedAt: now, orderLostAt: now - capacityWindow, fenceRequestedAt: now - weightsCallTimeout, fleet: map[string]*backendState{}, rosterPending: map[string]bool{},
-		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]relayReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
+		unloggedWeights: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]relayReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
 		lending: lending{allocator: allowance.NewAllocator(term)}, unknownBackends: map[uint64][]string{},
 		levels: levelTracker{reported: map[consensus.ID]reportedLevel{}},
 	}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -324,7 +324,7 @@
 
 func (r *Replica) finishRollout(now time.Duration, state *backendState) {
 	state.versions[state.rollout.model] = max(state.versions[state.rollout.model], state.rollout.version)
-	r.leader.unlogged[state.id] = true
+	r.leader.unloggedWeights[state.id] = true
 	r.leader.markRosterChanged(state.id)
 	r.setPhase(state, phaseIdle, now)
 }
