--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -64,7 +64,7 @@
 	rosterCount               uint64 // incremented whenever the roster may have changed
 	roster                    roster.Log
 	rosterPending             map[string]bool       // back ends with changes not yet in the roster
-	unloggedWeights           map[string]bool       // back ends with held weights not yet in the log
+	unloggedWeights           map[string]bool       // back ends with loaded weights not yet in the log
 	pendingOrderAnnouncements []string              // back ends whose upcoming orders have yet to be announced in the log
 	inUseSizes                map[string]inuse.Size // by service
 	inUseCheckedAt            time.Duration         // when the set of back ends in use was last checked
