--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/prefix"
 )
 
-// eventsKept bounds the events that a router can still ask for; older ones show as a gap.
-const eventsKept = 4096
+// maxEvents bounds the events that a router can still ask for; older ones show as a gap.
+const maxEvents = 4096
 
 // block is one cached block. Blocks in use by running sequences are pinned.
 type block struct {
@@ -170,8 +170,8 @@
 		at: now, lost: lost, event: core.CacheEvent{Sequence: c.sequence, Stored: stored, Evicted: evicted},
 	})
 	c.sequence++
-	if len(c.events) > eventsKept {
-		c.events = append([]timedEvent(nil), c.events[len(c.events)-eventsKept/2:]...)
+	if len(c.events) > maxEvents {
+		c.events = append([]timedEvent(nil), c.events[len(c.events)-maxEvents/2:]...)
 	}
 }
 
