--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -17,7 +17,7 @@
 	hash     prefix.Hash
 	lastUsed time.Duration
 	pins     int
-	place    *list.Element
+	element  *list.Element
 }
 
 // timedEvent is a cache event and when it happened.
@@ -66,7 +66,7 @@
 	for i := len(chain) - 1; i >= 0; i-- {
 		if held := c.blocks[chain[i]]; held != nil {
 			held.lastUsed = now
-			c.order.MoveToBack(held.place)
+			c.order.MoveToBack(held.element)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 			evicted = append(evicted, victim.hash)
 		}
 		fresh := &block{hash: hash, lastUsed: now}
-		fresh.place = c.order.PushBack(fresh)
+		fresh.element = c.order.PushBack(fresh)
 		c.blocks[hash] = fresh
 		stored = append(stored, hash)
 	}
@@ -125,7 +125,7 @@
 }
 
 func (c *cache) remove(held *block) {
-	c.order.Remove(held.place)
+	c.order.Remove(held.element)
 	delete(c.blocks, held.hash)
 }
 
