--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -32,13 +32,13 @@
 // Invariant: of one chain, deeper blocks are never fresher than shallower ones, so chains are evicted from
 // their end.
 type cache struct {
-	rates    Rates
-	random   *rand.Rand
-	blocks   map[prefix.Hash]*block
-	order    *list.List // front is the oldest
-	sequence uint64
-	events   []timedEvent
-	lastAge  time.Duration // age of the block evicted last
+	rates           Rates
+	random          *rand.Rand
+	blocks          map[prefix.Hash]*block
+	order           *list.List // front is the oldest
+	sequence        uint64
+	events          []timedEvent
+	lastEvictionAge time.Duration // age of the block evicted last
 }
 
 func newCache(rates Rates, random *rand.Rand) *cache {
@@ -117,7 +117,7 @@
 		if held.pins > 0 {
 			continue
 		}
-		c.lastAge = now - held.lastUsed
+		c.lastEvictionAge = now - held.lastUsed
 		c.remove(held)
 		return held
 	}
@@ -151,11 +151,11 @@
 
 // evictionAge estimates how long an unused block stays.
 func (c *cache) evictionAge() time.Duration {
-	if c.lastAge > 0 && len(c.blocks) >= c.rates.CacheBlocks*9/10 {
+	if c.lastEvictionAge > 0 && len(c.blocks) >= c.rates.CacheBlocks*9/10 {
 		if c.rates.CacheIdle > 0 {
-			return min(c.lastAge, c.rates.CacheIdle)
+			return min(c.lastEvictionAge, c.rates.CacheIdle)
 		}
-		return c.lastAge
+		return c.lastEvictionAge
 	}
 	return c.rates.CacheIdle
 }
