--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -198,7 +198,7 @@
 	return found, next
 }
 
-func (c *cache) list() []prefix.Hash {
+func (c *cache) blockHashes() []prefix.Hash {
 	hashes := make([]prefix.Hash, 0, len(c.blocks))
 	for place := c.order.Front(); place != nil; place = place.Next() {
 		hashes = append(hashes, place.Value.(*block).hash)
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -404,4 +404,4 @@
 func (m *Model) Holds(chain []prefix.Hash) int { return m.cache.peek(chain) }
 
 // Snapshot returns every cached block and the sequence of the next event.
-func (m *Model) Snapshot() ([]prefix.Hash, uint64) { return m.cache.list(), m.cache.sequence }
+func (m *Model) Snapshot() ([]prefix.Hash, uint64) { return m.cache.blockHashes(), m.cache.sequence }
