--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -64,9 +64,9 @@
 
 func (c *cache) touch(chain []prefix.Hash, now time.Duration) {
 	for i := len(chain) - 1; i >= 0; i-- {
-		if held := c.blocks[chain[i]]; held != nil {
-			held.lastUsed = now
-			c.order.MoveToBack(held.element)
+		if cached := c.blocks[chain[i]]; cached != nil {
+			cached.lastUsed = now
+			c.order.MoveToBack(cached.element)
 		}
 	}
 }
