--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -73,8 +73,8 @@
 
 func (c *cache) pin(chain []prefix.Hash) {
 	for _, hash := range chain {
-		if held := c.blocks[hash]; held != nil {
-			held.pins++
+		if cached := c.blocks[hash]; cached != nil {
+			cached.pins++
 		}
 	}
 }
