--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -81,8 +81,8 @@
 
 func (c *cache) unpin(chain []prefix.Hash, now time.Duration) {
 	for _, hash := range chain {
-		if held := c.blocks[hash]; held != nil && held.pins > 0 {
-			held.pins--
+		if cached := c.blocks[hash]; cached != nil && cached.pins > 0 {
+			cached.pins--
 		}
 	}
 	c.touch(chain, now)
