--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -113,13 +113,13 @@
 
 func (c *cache) evictOldest(now time.Duration) *block {
 	for place := c.order.Front(); place != nil; place = place.Next() {
-		held := place.Value.(*block)
-		if held.pins > 0 {
+		oldest := place.Value.(*block)
+		if oldest.pins > 0 {
 			continue
 		}
-		c.lastEvictionAge = now - held.lastUsed
-		c.remove(held)
-		return held
+		c.lastEvictionAge = now - oldest.lastUsed
+		c.remove(oldest)
+		return oldest
 	}
 	return nil
 }
