--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -124,9 +124,9 @@
 	return nil
 }
 
-func (c *cache) remove(held *block) {
-	c.order.Remove(held.element)
-	delete(c.blocks, held.hash)
+func (c *cache) remove(cached *block) {
+	c.order.Remove(cached.element)
+	delete(c.blocks, cached.hash)
 }
 
 // expire evicts blocks that were not used for long.
