--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -136,14 +136,14 @@
 	}
 	var evicted []prefix.Hash
 	for place := c.order.Front(); place != nil; {
-		held := place.Value.(*block)
-		if now-held.lastUsed < c.rates.CacheIdle {
+		oldest := place.Value.(*block)
+		if now-oldest.lastUsed < c.rates.CacheIdle {
 			break
 		}
 		place = place.Next()
-		if held.pins == 0 {
-			c.remove(held)
-			evicted = append(evicted, held.hash)
+		if oldest.pins == 0 {
+			c.remove(oldest)
+			evicted = append(evicted, oldest.hash)
 		}
 	}
 	c.publish(now, nil, evicted)
