--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -186,13 +186,13 @@
 	if len(c.events) > 0 && next > c.events[0].event.Sequence {
 		start = int(min(next-c.events[0].event.Sequence, uint64(len(c.events))))
 	}
-	for _, held := range c.events[start:] {
-		if held.at > by {
+	for _, recorded := range c.events[start:] {
+		if recorded.at > by {
 			break
 		}
-		next = held.event.Sequence + 1
-		if !held.lost {
-			found = append(found, held.event)
+		next = recorded.event.Sequence + 1
+		if !recorded.lost {
+			found = append(found, recorded.event)
 		}
 	}
 	return found, next
