--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -102,9 +102,9 @@
 			}
 			evicted = append(evicted, victim.hash)
 		}
-		fresh := &block{hash: hash, lastUsed: now}
-		fresh.element = c.order.PushBack(fresh)
-		c.blocks[hash] = fresh
+		added := &block{hash: hash, lastUsed: now}
+		added.element = c.order.PushBack(added)
+		c.blocks[hash] = added
 		stored = append(stored, hash)
 	}
 	c.touch(chain, now)
