--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -112,8 +112,8 @@
 }
 
 func (c *cache) evictOldest(now time.Duration) *block {
-	for place := c.order.Front(); place != nil; place = place.Next() {
-		oldest := place.Value.(*block)
+	for element := c.order.Front(); element != nil; element = element.Next() {
+		oldest := element.Value.(*block)
 		if oldest.pins > 0 {
 			continue
 		}
