--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -135,12 +135,12 @@
 		return
 	}
 	var evicted []prefix.Hash
-	for place := c.order.Front(); place != nil; {
-		oldest := place.Value.(*block)
+	for element := c.order.Front(); element != nil; {
+		oldest := element.Value.(*block)
 		if now-oldest.lastUsed < c.rates.CacheIdle {
 			break
 		}
-		place = place.Next()
+		element = element.Next()
 		if oldest.pins == 0 {
 			c.remove(oldest)
 			evicted = append(evicted, oldest.hash)
