--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -200,8 +200,8 @@
 
 func (c *cache) blockHashes() []prefix.Hash {
 	hashes := make([]prefix.Hash, 0, len(c.blocks))
-	for place := c.order.Front(); place != nil; place = place.Next() {
-		hashes = append(hashes, place.Value.(*block).hash)
+	for element := c.order.Front(); element != nil; element = element.Next() {
+		hashes = append(hashes, element.Value.(*block).hash)
 	}
 	return hashes
 }
