--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -178,15 +178,15 @@
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
 	if deepest > held && source != node.name {
 		moved := (deepest - held) * p.run.options.grain()
-		whole := seconds(float64(moved)/rates.ImportTokens) + seconds(float64(p.tokensLeft(context.Request, deepest))/rates.PrefillTokens)
-		if whole < seconds(float64(compute)/rates.PrefillTokens) {
+		whole := seconds(float64(moved)/rates.ImportTokens) + seconds(float64(p.tokensLeft(context.Request, deepest))/rates.PrefillTokensPerSecond)
+		if whole < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
 			candidate.ImportBlocks, candidate.ImportFrom = deepest, source
 			compute, copied = p.tokensLeft(context.Request, deepest), seconds(float64(moved)/rates.ImportTokens)
-			displaced = seconds(core.DisplacedFraction * float64(moved) / rates.PrefillTokens)
+			displaced = seconds(core.DisplacedFraction * float64(moved) / rates.PrefillTokensPerSecond)
 		}
 	}
-	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokens)
-	work := seconds(float64(compute) / rates.PrefillTokens)
+	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokensPerSecond)
+	work := seconds(float64(compute) / rates.PrefillTokensPerSecond)
 	candidate.Cached, candidate.Uncached = held*p.run.options.grain(), compute
 	candidate.Predicted = wait + work + copied
 	candidate.Cost = context.Values.TimeWeight*candidate.Predicted.Seconds() + context.Values.RecomputeWeight*(work+displaced).Seconds()
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -19,25 +19,25 @@
 // Rates are an engine's speeds and sizes. The defaults are those of an 8-billion-parameter model on one
 // accelerator, rounded.
 type Rates struct {
-	PrefillTokens float64       `json:"prefill_tokens_per_s"` // prompt tokens computed a second
-	ImportTokens  float64       `json:"import_tokens_per_s"`  // cached tokens copied from elsewhere a second
-	DecodeStep    time.Duration `json:"decode_step_ns"`       // one token for each running sequence
-	DecodePerSeq  time.Duration `json:"decode_per_sequence_ns"`
-	ChunkTokens   int           `json:"chunk_tokens"` // prompt tokens computed in one step at most
-	MaxBatch      int           `json:"max_batch"`    // sequences running at once
-	CacheBlocks   int           `json:"cache_blocks"`
-	CacheIdle     time.Duration `json:"cache_idle_ns"` // an unused block is evicted after this; 0 is never
-	EventLag      time.Duration `json:"event_lag_ns"`
-	EventLoss     float64       `json:"event_loss"` // share of cache events lost
-	LoadLag       time.Duration `json:"load_lag_ns"`
-	LoadTime      time.Duration `json:"load_time_ns"` // loading weights alone
-	QueueLimit    int           `json:"queue_limit"`
+	PrefillTokensPerSecond float64       `json:"prefill_tokens_per_s"` // prompt tokens computed a second
+	ImportTokens           float64       `json:"import_tokens_per_s"`  // cached tokens copied from elsewhere a second
+	DecodeStep             time.Duration `json:"decode_step_ns"`       // one token for each running sequence
+	DecodePerSeq           time.Duration `json:"decode_per_sequence_ns"`
+	ChunkTokens            int           `json:"chunk_tokens"` // prompt tokens computed in one step at most
+	MaxBatch               int           `json:"max_batch"`    // sequences running at once
+	CacheBlocks            int           `json:"cache_blocks"`
+	CacheIdle              time.Duration `json:"cache_idle_ns"` // an unused block is evicted after this; 0 is never
+	EventLag               time.Duration `json:"event_lag_ns"`
+	EventLoss              float64       `json:"event_loss"` // share of cache events lost
+	LoadLag                time.Duration `json:"load_lag_ns"`
+	LoadTime               time.Duration `json:"load_time_ns"` // loading weights alone
+	QueueLimit             int           `json:"queue_limit"`
 }
 
 // DefaultRates returns the rates of the stand-in's reference engine.
 func DefaultRates() Rates {
 	return Rates{
-		PrefillTokens: 8000, ImportTokens: 40000, DecodeStep: 8 * time.Millisecond, DecodePerSeq: 200 * time.Microsecond,
+		PrefillTokensPerSecond: 8000, ImportTokens: 40000, DecodeStep: 8 * time.Millisecond, DecodePerSeq: 200 * time.Microsecond,
 		ChunkTokens: 512, MaxBatch: 24, CacheBlocks: 1500, CacheIdle: 20 * time.Second,
 		EventLag: 150 * time.Millisecond, EventLoss: 0.01, LoadLag: 200 * time.Millisecond,
 		LoadTime: 500 * time.Millisecond, QueueLimit: 256,
@@ -285,7 +285,7 @@
 	if len(m.step) == 0 {
 		return outputs
 	}
-	length := time.Duration(float64(prefill) / m.rates.PrefillTokens * float64(time.Second))
+	length := time.Duration(float64(prefill) / m.rates.PrefillTokensPerSecond * float64(time.Second))
 	if decoding > 0 {
 		length += m.rates.DecodeStep + time.Duration(decoding)*m.rates.DecodePerSeq
 	}
--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -25,7 +25,7 @@
 // TrueLoad returns the load without lag.
 func (m *Model) TrueLoad() core.Load {
 	load := core.Load{
-		Running: len(m.running), Waiting: len(m.waiting), PrefillRate: m.rates.PrefillTokens, EvictionAge: m.cache.evictionAge(),
+		Running: len(m.running), Waiting: len(m.waiting), PrefillRate: m.rates.PrefillTokensPerSecond, EvictionAge: m.cache.evictionAge(),
 	}
 	count := func(tokens int, lane core.Lane) {
 		load.WaitingTokens += tokens
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -127,7 +127,7 @@
 // Rates returns the engine's rates.
 func (d *Deployment) Rates() engine.Rates {
 	rates := engine.DefaultRates()
-	override(&rates.PrefillTokens, d.Engine.PrefillTokens)
+	override(&rates.PrefillTokensPerSecond, d.Engine.PrefillTokens)
 	override(&rates.ImportTokens, d.Engine.ImportTokens)
 	override(&rates.DecodeStep, d.Engine.DecodeStep)
 	override(&rates.DecodePerSeq, d.Engine.DecodePerSeq)
