--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -57,7 +57,7 @@
 		sendings: map[core.AttemptID]*sending{}, targets: map[core.AttemptID]*engineNode{}}
 	node.core = core.New(core.Config{
 		Router: zone, Zone: zone, Seed: seed, BlockTokens: r.options.grain(), IndexLimit: indexLimit,
-		ZoneLatency: latency, Vault: vaultName, ImportRate: r.rates.ImportTokens, Placer: placerFor(r.policy, r),
+		ZoneLatency: latency, Vault: vaultName, ImportRate: r.rates.ImportTokensPerSecond, Placer: placerFor(r.policy, r),
 	})
 	return node
 }
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -20,7 +20,7 @@
 // accelerator, rounded.
 type Rates struct {
 	PrefillTokensPerSecond float64       `json:"prefill_tokens_per_s"` // prompt tokens computed a second
-	ImportTokens           float64       `json:"import_tokens_per_s"`  // cached tokens copied from elsewhere a second
+	ImportTokensPerSecond  float64       `json:"import_tokens_per_s"`  // cached tokens copied from elsewhere a second
 	DecodeStep             time.Duration `json:"decode_step_ns"`       // one token for each running sequence
 	DecodePerSeq           time.Duration `json:"decode_per_sequence_ns"`
 	ChunkTokens            int           `json:"chunk_tokens"` // prompt tokens computed in one step at most
@@ -37,7 +37,7 @@
 // DefaultRates returns the rates of the stand-in's reference engine.
 func DefaultRates() Rates {
 	return Rates{
-		PrefillTokensPerSecond: 8000, ImportTokens: 40000, DecodeStep: 8 * time.Millisecond, DecodePerSeq: 200 * time.Microsecond,
+		PrefillTokensPerSecond: 8000, ImportTokensPerSecond: 40000, DecodeStep: 8 * time.Millisecond, DecodePerSeq: 200 * time.Microsecond,
 		ChunkTokens: 512, MaxBatch: 24, CacheBlocks: 1500, CacheIdle: 20 * time.Second,
 		EventLag: 150 * time.Millisecond, EventLoss: 0.01, LoadLag: 200 * time.Millisecond,
 		LoadTime: 500 * time.Millisecond, QueueLimit: 256,
@@ -341,7 +341,7 @@
 			tokens := (available - matched) * m.blockTokens
 			held.imported = tokens
 			held.copying = true
-			held.readyAt = m.now + time.Duration(float64(tokens)/m.rates.ImportTokens*float64(time.Second))
+			held.readyAt = m.now + time.Duration(float64(tokens)/m.rates.ImportTokensPerSecond*float64(time.Second))
 			m.cache.insert(job.Blocks[matched:available], m.now)
 			matched = available
 		}
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -128,7 +128,7 @@
 func (d *Deployment) Rates() engine.Rates {
 	rates := engine.DefaultRates()
 	override(&rates.PrefillTokensPerSecond, d.Engine.PrefillTokens)
-	override(&rates.ImportTokens, d.Engine.ImportTokens)
+	override(&rates.ImportTokensPerSecond, d.Engine.ImportTokens)
 	override(&rates.DecodeStep, d.Engine.DecodeStep)
 	override(&rates.DecodePerSeq, d.Engine.DecodePerSeq)
 	override(&rates.MaxBatch, d.Engine.MaxBatch)
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -23,7 +23,7 @@
 // simRates are small and slow, so that a run needs few events.
 func simRates() engine.Rates {
 	rates := engine.DefaultRates()
-	rates.PrefillTokensPerSecond, rates.ImportTokens = 400, 4000
+	rates.PrefillTokensPerSecond, rates.ImportTokensPerSecond = 400, 4000
 	rates.DecodeStep, rates.DecodePerSeq = 40*time.Millisecond, time.Millisecond
 	rates.ChunkTokens, rates.MaxBatch = 64, 8
 	rates.CacheBlocks, rates.CacheIdle = cacheBlocks, 8*time.Second
