--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -131,13 +131,13 @@
 
 // expire evicts blocks that were not used for long.
 func (c *cache) expire(now time.Duration) {
-	if c.rates.CacheIdle <= 0 {
+	if c.rates.CacheIdleTimeout <= 0 {
 		return
 	}
 	var evicted []prefix.Hash
 	for element := c.order.Front(); element != nil; {
 		oldest := element.Value.(*block)
-		if now-oldest.lastUsed < c.rates.CacheIdle {
+		if now-oldest.lastUsed < c.rates.CacheIdleTimeout {
 			break
 		}
 		element = element.Next()
@@ -152,12 +152,12 @@
 // evictionAge estimates how long an unused block stays.
 func (c *cache) evictionAge() time.Duration {
 	if c.lastEvictionAge > 0 && len(c.blocks) >= c.rates.CacheBlocks*9/10 {
-		if c.rates.CacheIdle > 0 {
-			return min(c.lastEvictionAge, c.rates.CacheIdle)
+		if c.rates.CacheIdleTimeout > 0 {
+			return min(c.lastEvictionAge, c.rates.CacheIdleTimeout)
 		}
 		return c.lastEvictionAge
 	}
-	return c.rates.CacheIdle
+	return c.rates.CacheIdleTimeout
 }
 
 // publish records a cache event; some are lost on the way.
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -26,7 +26,7 @@
 	ChunkTokens            int           `json:"chunk_tokens"` // prompt tokens computed in one step at most
 	MaxBatch               int           `json:"max_batch"`    // sequences running at once
 	CacheBlocks            int           `json:"cache_blocks"`
-	CacheIdle              time.Duration `json:"cache_idle_ns"` // an unused block is evicted after this; 0 is never
+	CacheIdleTimeout       time.Duration `json:"cache_idle_ns"` // an unused block is evicted after this; 0 is never
 	EventLag               time.Duration `json:"event_lag_ns"`
 	EventLoss              float64       `json:"event_loss"` // share of cache events lost
 	LoadLag                time.Duration `json:"load_lag_ns"`
@@ -38,7 +38,7 @@
 func DefaultRates() Rates {
 	return Rates{
 		PrefillTokensPerSecond: 8000, ImportTokensPerSecond: 40000, DecodeStep: 8 * time.Millisecond, DecodePerSeq: 200 * time.Microsecond,
-		ChunkTokens: 512, MaxBatch: 24, CacheBlocks: 1500, CacheIdle: 20 * time.Second,
+		ChunkTokens: 512, MaxBatch: 24, CacheBlocks: 1500, CacheIdleTimeout: 20 * time.Second,
 		EventLag: 150 * time.Millisecond, EventLoss: 0.01, LoadLag: 200 * time.Millisecond,
 		LoadTime: 500 * time.Millisecond, QueueLimit: 256,
 	}
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -133,7 +133,7 @@
 	override(&rates.DecodePerSeq, d.Engine.DecodePerSeq)
 	override(&rates.MaxBatch, d.Engine.MaxBatch)
 	override(&rates.CacheBlocks, d.Engine.CacheBlocks)
-	override(&rates.CacheIdle, d.Engine.CacheIdle)
+	override(&rates.CacheIdleTimeout, d.Engine.CacheIdle)
 	override(&rates.EventLag, d.Engine.EventLag)
 	override(&rates.EventLoss, d.Engine.EventLoss)
 	override(&rates.LoadLag, d.Engine.LoadLag)
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -26,7 +26,7 @@
 	rates.PrefillTokensPerSecond, rates.ImportTokensPerSecond = 400, 4000
 	rates.DecodeStep, rates.DecodePerSeq = 40*time.Millisecond, time.Millisecond
 	rates.ChunkTokens, rates.MaxBatch = 64, 8
-	rates.CacheBlocks, rates.CacheIdle = cacheBlocks, 8*time.Second
+	rates.CacheBlocks, rates.CacheIdleTimeout = cacheBlocks, 8*time.Second
 	rates.EventLag, rates.EventLoss, rates.LoadLag = 200*time.Millisecond, eventLoss, 200*time.Millisecond
 	return rates
 }
