--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -165,7 +165,7 @@
 	if len(stored) == 0 && len(evicted) == 0 {
 		return
 	}
-	lost := c.random.Float64() < c.rates.EventLoss
+	lost := c.random.Float64() < c.rates.EventLossRatio
 	c.events = append(c.events, timedEvent{
 		at: now, lost: lost, event: core.CacheEvent{Sequence: c.sequence, Stored: stored, Evicted: evicted},
 	})
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -28,7 +28,7 @@
 	CacheBlocks            int           `json:"cache_blocks"`
 	CacheIdleTimeout       time.Duration `json:"cache_idle_ns"` // an unused block is evicted after this; 0 is never
 	EventLag               time.Duration `json:"event_lag_ns"`
-	EventLoss              float64       `json:"event_loss"` // share of cache events lost
+	EventLossRatio         float64       `json:"event_loss"` // share of cache events lost
 	LoadLag                time.Duration `json:"load_lag_ns"`
 	LoadTime               time.Duration `json:"load_time_ns"` // loading weights alone
 	QueueLimit             int           `json:"queue_limit"`
@@ -39,7 +39,7 @@
 	return Rates{
 		PrefillTokensPerSecond: 8000, ImportTokensPerSecond: 40000, DecodeStep: 8 * time.Millisecond, DecodePerSeq: 200 * time.Microsecond,
 		ChunkTokens: 512, MaxBatch: 24, CacheBlocks: 1500, CacheIdleTimeout: 20 * time.Second,
-		EventLag: 150 * time.Millisecond, EventLoss: 0.01, LoadLag: 200 * time.Millisecond,
+		EventLag: 150 * time.Millisecond, EventLossRatio: 0.01, LoadLag: 200 * time.Millisecond,
 		LoadTime: 500 * time.Millisecond, QueueLimit: 256,
 	}
 }
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -135,7 +135,7 @@
 	override(&rates.CacheBlocks, d.Engine.CacheBlocks)
 	override(&rates.CacheIdleTimeout, d.Engine.CacheIdle)
 	override(&rates.EventLag, d.Engine.EventLag)
-	override(&rates.EventLoss, d.Engine.EventLoss)
+	override(&rates.EventLossRatio, d.Engine.EventLoss)
 	override(&rates.LoadLag, d.Engine.LoadLag)
 	override(&rates.LoadTime, d.Weights.LoadTime)
 	return rates
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -27,7 +27,7 @@
 	rates.DecodeStep, rates.DecodePerSeq = 40*time.Millisecond, time.Millisecond
 	rates.ChunkTokens, rates.MaxBatch = 64, 8
 	rates.CacheBlocks, rates.CacheIdleTimeout = cacheBlocks, 8*time.Second
-	rates.EventLag, rates.EventLoss, rates.LoadLag = 200*time.Millisecond, eventLoss, 200*time.Millisecond
+	rates.EventLag, rates.EventLossRatio, rates.LoadLag = 200*time.Millisecond, eventLoss, 200*time.Millisecond
 	return rates
 }
 
