--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -31,7 +31,7 @@
 	EventLossRatio         float64       `json:"event_loss"` // share of cache events lost
 	LoadLag                time.Duration `json:"load_lag_ns"`
 	LoadTime               time.Duration `json:"load_time_ns"` // loading weights alone
-	QueueLimit             int           `json:"queue_limit"`
+	MaxWaiting             int           `json:"queue_limit"`
 }
 
 // DefaultRates returns the rates of the stand-in's reference engine.
@@ -40,7 +40,7 @@
 		PrefillTokensPerSecond: 8000, ImportTokensPerSecond: 40000, DecodeStep: 8 * time.Millisecond, DecodePerSeq: 200 * time.Microsecond,
 		ChunkTokens: 512, MaxBatch: 24, CacheBlocks: 1500, CacheIdleTimeout: 20 * time.Second,
 		EventLag: 150 * time.Millisecond, EventLossRatio: 0.01, LoadLag: 200 * time.Millisecond,
-		LoadTime: 500 * time.Millisecond, QueueLimit: 256,
+		LoadTime: 500 * time.Millisecond, MaxWaiting: 256,
 	}
 }
 
@@ -163,7 +163,7 @@
 		return RefusedLeaving
 	case m.loadEnds > 0:
 		return RefusedLoading
-	case len(m.waiting) >= m.rates.QueueLimit:
+	case len(m.waiting) >= m.rates.MaxWaiting:
 		return RefusedBusy
 	}
 	reuse := true
