--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -86,7 +86,7 @@
 	job := &engine.Job{
 		Attempt: action.Attempt, Origin: s.router.zone, Tenant: s.request.request.Tenant, Blocks: action.Blocks,
 		PromptTokens: s.request.request.PromptTokens, MaxTokens: action.MaxTokens, ResumeFrom: action.ResumeFrom, Lane: action.Lane,
-		Incarnation: action.Incarnation, Weights: action.Weights, RelyTokens: action.ExpectedCachedTokens,
+		Incarnation: action.Incarnation, Weights: action.Weights, ExpectedCachedTokens: action.ExpectedCachedTokens,
 		ImportFrom: action.ImportFrom, ImportBlocks: action.ImportBlocks, UserData: s,
 	}
 	switch e.model.Submit(e.run.clock.Now(), job) {
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -46,21 +46,21 @@
 
 // Job is one attempt sent to the engine.
 type Job struct {
-	Attempt      core.AttemptID
-	Request      core.RequestID
-	Origin       string // router, to tell attempts of different routers apart
-	Tenant       string
-	Blocks       []prefix.Hash
-	PromptTokens int
-	MaxTokens    int
-	ResumeFrom   int
-	Lane         core.Lane
-	Incarnation  uint64 // life the router counts on
-	Weights      string
-	RelyTokens   int
-	ImportFrom   string
-	ImportBlocks int
-	UserData     any // returned with each output
+	Attempt              core.AttemptID
+	Request              core.RequestID
+	Origin               string // router, to tell attempts of different routers apart
+	Tenant               string
+	Blocks               []prefix.Hash
+	PromptTokens         int
+	MaxTokens            int
+	ResumeFrom           int
+	Lane                 core.Lane
+	Incarnation          uint64 // life the router counts on
+	Weights              string
+	ExpectedCachedTokens int
+	ImportFrom           string
+	ImportBlocks         int
+	UserData             any // returned with each output
 }
 
 // OutputKind tells what an Output reports.
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -104,7 +104,7 @@
 	job := &engine.Job{
 		Attempt: action.Attempt, Origin: fmt.Sprintf("%s#%d", s.router.name, s.router.life), Tenant: s.request.job.tenant,
 		Blocks: action.Blocks, PromptTokens: s.request.promptTokens(), MaxTokens: action.MaxTokens, ResumeFrom: action.ResumeFrom,
-		Lane: action.Lane, Incarnation: action.Incarnation, Weights: action.Weights, RelyTokens: action.ExpectedCachedTokens,
+		Lane: action.Lane, Incarnation: action.Incarnation, Weights: action.Weights, ExpectedCachedTokens: action.ExpectedCachedTokens,
 		ImportFrom: action.ImportFrom, ImportBlocks: action.ImportBlocks, UserData: s,
 	}
 	e.advance()
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -135,7 +135,7 @@
 	job := &engine.Job{
 		Attempt: request.Attempt, Origin: request.Router, Tenant: request.Tenant, Blocks: request.Blocks,
 		PromptTokens: request.PromptTokens, MaxTokens: request.MaxTokens, ResumeFrom: request.ResumeFrom,
-		Lane: request.Lane, Incarnation: request.Incarnation, Weights: request.Weights, RelyTokens: request.ExpectedCachedTokens,
+		Lane: request.Lane, Incarnation: request.Incarnation, Weights: request.Weights, ExpectedCachedTokens: request.ExpectedCachedTokens,
 		ImportFrom: request.ImportFrom, ImportBlocks: request.ImportBlocks, UserData: state,
 	}
 	e.mutex.Lock()
