--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -90,7 +90,7 @@
 		ImportFrom: action.ImportFrom, ImportBlocks: action.ImportBlocks, UserData: s,
 	}
 	switch e.model.Submit(e.run.clock.Now(), job) {
-	case engine.Taken:
+	case engine.Accepted:
 	case engine.TakenWithoutReuse:
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 	default:
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -89,7 +89,7 @@
 
 // Results of Submit.
 const (
-	Taken             SubmitResult = iota
+	Accepted          SubmitResult = iota
 	TakenWithoutReuse              // the router counted on another life or other weights
 	RefusedBusy
 	RefusedLeaving
@@ -174,7 +174,7 @@
 	if !reuse {
 		return TakenWithoutReuse
 	}
-	return Taken
+	return Accepted
 }
 
 // Cancel drops a job wherever it stands.
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -129,7 +129,7 @@
 	if o.notRunSends[run] {
 		o.fail(NotRunTrue, "%s took %s, which was refused as not run", e.name, run.job.name)
 	}
-	if job.ExpectedCachedTokens > 0 && result == engine.Taken && job.Incarnation != e.model.Incarnation {
+	if job.ExpectedCachedTokens > 0 && result == engine.Accepted && job.Incarnation != e.model.Incarnation {
 		o.fail(CacheIsolation, "%s, incarnation %d, runs %s relying on %d tokens of incarnation %d",
 			e.name, e.model.Incarnation, run.job.name, job.ExpectedCachedTokens, job.Incarnation)
 	}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -257,7 +257,7 @@
 				r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: pushback.Signals{Limit: limit}})
 			}
 			switch result {
-			case engine.Taken:
+			case engine.Accepted:
 			case engine.TakenWithoutReuse:
 				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 			default:
