--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -91,7 +91,7 @@
 	}
 	switch e.model.Submit(e.run.clock.Now(), job) {
 	case engine.Accepted:
-	case engine.TakenWithoutReuse:
+	case engine.AcceptedWithoutReuse:
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 	default:
 		s.router.pass(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Signals: pushback.Signals{Backoff: busyRest}})
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -89,8 +89,8 @@
 
 // Results of Submit.
 const (
-	Accepted          SubmitResult = iota
-	TakenWithoutReuse              // the router counted on another life or other weights
+	Accepted             SubmitResult = iota
+	AcceptedWithoutReuse              // the router counted on another life or other weights
 	RefusedBusy
 	RefusedLeaving
 	RefusedLoading
@@ -172,7 +172,7 @@
 	}
 	m.waiting = append(m.waiting, &sequence{job: job, reuse: reuse, emitted: job.ResumeFrom})
 	if !reuse {
-		return TakenWithoutReuse
+		return AcceptedWithoutReuse
 	}
 	return Accepted
 }
--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -94,7 +94,7 @@
 	runUntilIdle(model)
 	old := jobOf(2, chainOf(1, 20), 1)
 	old.Incarnation = 7
-	if result := model.Submit(model.now, old); result != TakenWithoutReuse {
+	if result := model.Submit(model.now, old); result != AcceptedWithoutReuse {
 		t.Fatalf("result %v, want TakenWithoutReuse", result)
 	}
 	if outputs := runUntilIdle(model); outputs[0].Cached != 0 {
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -109,7 +109,7 @@
 	}
 	e.advance()
 	result := e.model.Submit(e.w.now(), job)
-	if result == engine.Accepted || result == engine.TakenWithoutReuse {
+	if result == engine.Accepted || result == engine.AcceptedWithoutReuse {
 		e.w.oracle.engineTook(e, job, s, result)
 		e.connect(s)
 	}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -258,7 +258,7 @@
 			}
 			switch result {
 			case engine.Accepted:
-			case engine.TakenWithoutReuse:
+			case engine.AcceptedWithoutReuse:
 				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 			default:
 				r.refused(s, action, life, pushback.Signals{Draining: result == engine.RefusedLeaving, Backoff: 100 * time.Millisecond})
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -148,7 +148,7 @@
 		return
 	}
 	e.nudge()
-	e.stream(w, r, request, job, result == engine.TakenWithoutReuse, incarnation)
+	e.stream(w, r, request, job, result == engine.AcceptedWithoutReuse, incarnation)
 }
 
 // refusalOf returns the answer to a job that was not taken.
