--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -91,7 +91,7 @@
 const (
 	Accepted             SubmitResult = iota
 	AcceptedWithoutReuse              // the router counted on another life or other weights
-	RefusedBusy
+	RejectedQueueFull
 	RefusedLeaving
 	RefusedLoading
 )
@@ -164,7 +164,7 @@
 	case m.loadEnds > 0:
 		return RefusedLoading
 	case len(m.waiting) >= m.rates.MaxWaiting:
-		return RefusedBusy
+		return RejectedQueueFull
 	}
 	reuse := true
 	if m.guards.On(guard.IncarnationCheck) {
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -158,7 +158,7 @@
 	case engine.RefusedLeaving:
 		refusal.Draining = true
 		return refusal, true
-	case engine.RefusedBusy, engine.RefusedLoading:
+	case engine.RejectedQueueFull, engine.RefusedLoading:
 		return refusal, true
 	}
 	return refusal, false
