--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -92,7 +92,7 @@
 	Accepted             SubmitResult = iota
 	AcceptedWithoutReuse              // the router counted on another life or other weights
 	RejectedQueueFull
-	RefusedLeaving
+	RejectedDraining
 	RefusedLoading
 )
 
@@ -160,7 +160,7 @@
 	m.now = max(m.now, now)
 	switch {
 	case m.leaving:
-		return RefusedLeaving
+		return RejectedDraining
 	case m.loadEnds > 0:
 		return RefusedLoading
 	case len(m.waiting) >= m.rates.MaxWaiting:
--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -115,7 +115,7 @@
 func TestBackendsThatLeaveOrLoadRefuse(t *testing.T) {
 	model := newTestModel()
 	model.SetLeaving(true)
-	if result := model.Submit(0, jobOf(1, chainOf(1, 2), 1)); result != RefusedLeaving {
+	if result := model.Submit(0, jobOf(1, chainOf(1, 2), 1)); result != RejectedDraining {
 		t.Fatalf("result %v, want RefusedLeaving", result)
 	}
 }
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -261,7 +261,7 @@
 			case engine.AcceptedWithoutReuse:
 				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 			default:
-				r.refused(s, action, life, pushback.Signals{Draining: result == engine.RefusedLeaving, Backoff: 100 * time.Millisecond})
+				r.refused(s, action, life, pushback.Signals{Draining: result == engine.RejectedDraining, Backoff: 100 * time.Millisecond})
 			}
 		})
 	}, func(refused bool) { r.attemptEvent(s, core.EventAttempt{Kind: failureKind(refused)}) })
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -155,7 +155,7 @@
 func refusalOf(result engine.SubmitResult) (api.BackendRejection, bool) {
 	refusal := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyAdvice.Milliseconds()}
 	switch result {
-	case engine.RefusedLeaving:
+	case engine.RejectedDraining:
 		refusal.Draining = true
 		return refusal, true
 	case engine.RejectedQueueFull, engine.RefusedLoading:
