--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -93,7 +93,7 @@
 	AcceptedWithoutReuse              // the router counted on another life or other weights
 	RejectedQueueFull
 	RejectedDraining
-	RefusedLoading
+	RejectedLoading
 )
 
 // sequence is a job being worked on.
@@ -162,7 +162,7 @@
 	case m.leaving:
 		return RejectedDraining
 	case m.loadEnds > 0:
-		return RefusedLoading
+		return RejectedLoading
 	case len(m.waiting) >= m.rates.MaxWaiting:
 		return RejectedQueueFull
 	}
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -158,7 +158,7 @@
 	case engine.RejectedDraining:
 		refusal.Draining = true
 		return refusal, true
-	case engine.RejectedQueueFull, engine.RefusedLoading:
+	case engine.RejectedQueueFull, engine.RejectedLoading:
 		return refusal, true
 	}
 	return refusal, false
