--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -128,7 +128,7 @@
 	chunk   map[*sequence]int
 	now     time.Duration
 
-	leaving  bool
+	draining bool
 	loadEnds time.Duration // 0 when not loading
 	loading  string
 	fence    control.Fence
@@ -153,13 +153,13 @@
 }
 
 // SetLeaving makes the engine refuse new work and report that it leaves.
-func (m *Model) SetLeaving(leaving bool) { m.leaving = leaving }
+func (m *Model) SetLeaving(leaving bool) { m.draining = leaving }
 
 // Submit takes or refuses a job. A refused job provably does not run.
 func (m *Model) Submit(now time.Duration, job *Job) SubmitResult {
 	m.now = max(m.now, now)
 	switch {
-	case m.leaving:
+	case m.draining:
 		return RejectedDraining
 	case m.loadEnds > 0:
 		return RejectedLoading
--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -64,7 +64,7 @@
 	m.sampleLoad()
 	events, next := m.cache.eventsAfter(after, m.now-m.rates.EventLag)
 	return core.BackendReport{
-		Incarnation: m.Incarnation, Weights: m.Weights, Loading: m.loadEnds > 0, Leaving: m.leaving,
+		Incarnation: m.Incarnation, Weights: m.Weights, Loading: m.loadEnds > 0, Leaving: m.draining,
 		Load: m.laggedLoad(), Events: events, NextSequence: next,
 	}
 }
