--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -98,16 +98,16 @@
 
 // sequence is a job being worked on.
 type sequence struct {
-	job      *Job
-	readyAt  time.Duration // end of a copy
-	copying  bool
-	toDo     int // prompt tokens left
-	cached   int
-	imported int
-	emitted  int
-	reuse    bool
-	pinned   []prefix.Hash
-	computed []prefix.Hash
+	job          *Job
+	importEndsAt time.Duration // end of a copy
+	copying      bool
+	toDo         int // prompt tokens left
+	cached       int
+	imported     int
+	emitted      int
+	reuse        bool
+	pinned       []prefix.Hash
+	computed     []prefix.Hash
 }
 
 // Model is an engine in virtual time. It is not safe for concurrent use.
@@ -220,7 +220,7 @@
 	}
 	for _, held := range m.running {
 		if held.copying {
-			consider(held.readyAt)
+			consider(held.importEndsAt)
 		}
 	}
 }
@@ -230,7 +230,7 @@
 	if len(m.waiting) > 0 && len(m.running) < m.rates.MaxBatch {
 		return true
 	}
-	return slices.ContainsFunc(m.running, func(held *sequence) bool { return !held.copying || held.readyAt <= m.now })
+	return slices.ContainsFunc(m.running, func(held *sequence) bool { return !held.copying || held.importEndsAt <= m.now })
 }
 
 // Advance runs the engine up to now and returns what it produced, in order.
@@ -265,7 +265,7 @@
 	m.step = m.step[:0]
 	for _, held := range m.byLane() {
 		if held.copying {
-			if held.readyAt > m.now {
+			if held.importEndsAt > m.now {
 				continue
 			}
 			held.copying = false
@@ -341,7 +341,7 @@
 			tokens := (available - matched) * m.blockTokens
 			held.imported = tokens
 			held.copying = true
-			held.readyAt = m.now + time.Duration(float64(tokens)/m.rates.ImportTokensPerSecond*float64(time.Second))
+			held.importEndsAt = m.now + time.Duration(float64(tokens)/m.rates.ImportTokensPerSecond*float64(time.Second))
 			m.cache.insert(job.Blocks[matched:available], m.now)
 			matched = available
 		}
