--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -100,7 +100,7 @@
 type sequence struct {
 	job          *Job
 	importEndsAt time.Duration // end of a copy
-	copying      bool
+	importing    bool
 	toDo         int // prompt tokens left
 	cached       int
 	imported     int
@@ -219,7 +219,7 @@
 		consider(m.now)
 	}
 	for _, held := range m.running {
-		if held.copying {
+		if held.importing {
 			consider(held.importEndsAt)
 		}
 	}
@@ -230,7 +230,7 @@
 	if len(m.waiting) > 0 && len(m.running) < m.rates.MaxBatch {
 		return true
 	}
-	return slices.ContainsFunc(m.running, func(held *sequence) bool { return !held.copying || held.importEndsAt <= m.now })
+	return slices.ContainsFunc(m.running, func(held *sequence) bool { return !held.importing || held.importEndsAt <= m.now })
 }
 
 // Advance runs the engine up to now and returns what it produced, in order.
@@ -264,11 +264,11 @@
 	clear(m.chunk)
 	m.step = m.step[:0]
 	for _, held := range m.byLane() {
-		if held.copying {
+		if held.importing {
 			if held.importEndsAt > m.now {
 				continue
 			}
-			held.copying = false
+			held.importing = false
 		}
 		if held.toDo == 0 {
 			decoding++
@@ -321,7 +321,7 @@
 func (m *Model) openPrefill(lane core.Lane) int {
 	open := 0
 	for _, held := range m.running {
-		if held.toDo > 0 && !held.copying && held.job.Lane <= lane {
+		if held.toDo > 0 && !held.importing && held.job.Lane <= lane {
 			open += held.toDo
 		}
 	}
@@ -340,7 +340,7 @@
 		if available > matched {
 			tokens := (available - matched) * m.blockTokens
 			held.imported = tokens
-			held.copying = true
+			held.importing = true
 			held.importEndsAt = m.now + time.Duration(float64(tokens)/m.rates.ImportTokensPerSecond*float64(time.Second))
 			m.cache.insert(job.Blocks[matched:available], m.now)
 			matched = available
