--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -98,16 +98,16 @@
 
 // sequence is a job being worked on.
 type sequence struct {
-	job          *Job
-	importEndsAt time.Duration // end of a copy
-	importing    bool
-	toDo         int // prompt tokens left
-	cached       int
-	imported     int
-	emitted      int
-	reuse        bool
-	pinned       []prefix.Hash
-	computed     []prefix.Hash
+	job              *Job
+	importEndsAt     time.Duration // end of a copy
+	importing        bool
+	promptTokensLeft int // prompt tokens left
+	cached           int
+	imported         int
+	emitted          int
+	reuse            bool
+	pinned           []prefix.Hash
+	computed         []prefix.Hash
 }
 
 // Model is an engine in virtual time. It is not safe for concurrent use.
@@ -270,12 +270,12 @@
 			}
 			held.importing = false
 		}
-		if held.toDo == 0 {
+		if held.promptTokensLeft == 0 {
 			decoding++
 			m.step = append(m.step, held)
 			continue
 		}
-		if take := min(budget, held.toDo); take > 0 {
+		if take := min(budget, held.promptTokensLeft); take > 0 {
 			budget -= take
 			prefill += take
 			m.chunk[held] = take
@@ -321,8 +321,8 @@
 func (m *Model) openPrefill(lane core.Lane) int {
 	open := 0
 	for _, held := range m.running {
-		if held.toDo > 0 && !held.importing && held.job.Lane <= lane {
-			open += held.toDo
+		if held.promptTokensLeft > 0 && !held.importing && held.job.Lane <= lane {
+			open += held.promptTokensLeft
 		}
 	}
 	return open
@@ -349,7 +349,7 @@
 	held.pinned = job.Blocks[:matched]
 	m.cache.pin(held.pinned)
 	held.cached = matched * m.blockTokens
-	held.toDo = max(1, job.PromptTokens+job.ResumeFrom-held.cached)
+	held.promptTokensLeft = max(1, job.PromptTokens+job.ResumeFrom-held.cached)
 	if job.Weights == m.Weights { // other weights give other contents than the chain stands for
 		held.computed = job.Blocks[matched:]
 	}
@@ -360,8 +360,8 @@
 	m.stepEnd = 0
 	for _, held := range m.step {
 		if take := m.chunk[held]; take > 0 {
-			held.toDo -= take
-			if held.toDo > 0 {
+			held.promptTokensLeft -= take
+			if held.promptTokensLeft > 0 {
 				continue
 			}
 			m.prefilled(held)
@@ -377,7 +377,7 @@
 		held.emitted++
 	}
 	for _, held := range m.step {
-		if held.toDo == 0 && held.emitted >= held.job.MaxTokens {
+		if held.promptTokensLeft == 0 && held.emitted >= held.job.MaxTokens {
 			outputs = append(outputs, Output{Kind: OutputDone, Job: held.job, Index: held.emitted, Computed: held.computed, Weights: m.Weights})
 			m.release(held)
 			m.running = slices.DeleteFunc(m.running, func(other *sequence) bool { return other == held })
--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -40,7 +40,7 @@
 	model.Advance(0)
 	copying := jobOf(2, chainOf(2, 5), 1)
 	copying.ImportBlocks, copying.ImportFrom = 4, "other"
-	model.running = append(model.running, &sequence{job: copying, importing: true, importEndsAt: time.Millisecond, toDo: 1})
+	model.running = append(model.running, &sequence{job: copying, importing: true, importEndsAt: time.Millisecond, promptTokensLeft: 1})
 	model.now = 2 * time.Millisecond
 	if due, _ := model.NextDue(); due != model.stepEnd {
 		t.Fatalf("due at %v while the step ends at %v", due, model.stepEnd)
--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -34,7 +34,7 @@
 		}
 	}
 	for _, held := range m.running {
-		count(held.toDo, held.job.Lane)
+		count(held.promptTokensLeft, held.job.Lane)
 	}
 	for _, held := range m.waiting {
 		known := 0
