--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -128,11 +128,11 @@
 	chunk   map[*sequence]int
 	now     time.Duration
 
-	draining bool
-	loadEnds time.Duration // 0 when not loading
-	loading  string
-	fence    control.Fence
-	loads    []loadSample
+	draining   bool
+	loadEndsAt time.Duration // 0 when not loading
+	loading    string
+	fence      control.Fence
+	loads      []loadSample
 	// Import returns how many leading blocks of a chain the source can give; nil disables copies.
 	Import func(source string, chain []prefix.Hash) int
 }
@@ -161,7 +161,7 @@
 	switch {
 	case m.draining:
 		return RejectedDraining
-	case m.loadEnds > 0:
+	case m.loadEndsAt > 0:
 		return RejectedLoading
 	case len(m.waiting) >= m.rates.MaxWaiting:
 		return RejectedQueueFull
@@ -206,8 +206,8 @@
 	} else {
 		m.considerStart(consider)
 	}
-	if m.loadEnds > 0 && m.Busy() == 0 {
-		consider(m.loadEnds)
+	if m.loadEndsAt > 0 && m.Busy() == 0 {
+		consider(m.loadEndsAt)
 	}
 	return due, any
 }
--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -64,7 +64,7 @@
 	m.sampleLoad()
 	events, next := m.cache.eventsAfter(after, m.now-m.rates.EventLag)
 	return core.BackendReport{
-		Incarnation: m.Incarnation, Weights: m.Weights, Loading: m.loadEnds > 0, Leaving: m.draining,
+		Incarnation: m.Incarnation, Weights: m.Weights, Loading: m.loadEndsAt > 0, Leaving: m.draining,
 		Load: m.laggedLoad(), Events: events, NextSequence: next,
 	}
 }
@@ -73,7 +73,7 @@
 func (m *Model) Fence() control.Fence { return m.fence }
 
 // Loading reports whether weights are being loaded.
-func (m *Model) Loading() bool { return m.loadEnds > 0 }
+func (m *Model) Loading() bool { return m.loadEndsAt > 0 }
 
 // Order takes a fenced call. It returns false when a higher fence was seen before, or the order was meant
 // for an earlier life. loadTime is how long the weights take to load now.
@@ -86,25 +86,25 @@
 		return false
 	}
 	m.fence = call.Fence
-	if call.Order == nil || call.Order.Weights == m.Weights || m.loadEnds > 0 {
+	if call.Order == nil || call.Order.Weights == m.Weights || m.loadEndsAt > 0 {
 		return true
 	}
 	m.loading = call.Order.Weights
-	m.loadEnds = m.now + loadTime
+	m.loadEndsAt = m.now + loadTime
 	return true
 }
 
 // finishLoad puts new weights to use when they have arrived and no job runs on the old ones any more.
 func (m *Model) finishLoad() {
-	if m.loadEnds == 0 || m.now < m.loadEnds || m.Busy() > 0 {
+	if m.loadEndsAt == 0 || m.now < m.loadEndsAt || m.Busy() > 0 {
 		return
 	}
 	m.Weights = m.loading
-	m.loadEnds = 0
+	m.loadEndsAt = 0
 }
 
 // FailLoad gives up a load whose weights could not be fetched; the old weights stay.
-func (m *Model) FailLoad() { m.loadEnds = 0 }
+func (m *Model) FailLoad() { m.loadEndsAt = 0 }
 
 // LoadTime returns the time to load weights when count engines load at once and the store serves limit at
 // full speed.
@@ -118,8 +118,8 @@
 // CompleteLoad ends a load whose length was not known in advance.
 func (m *Model) CompleteLoad(now time.Duration) {
 	m.now = max(m.now, now)
-	if m.loadEnds > 0 {
-		m.loadEnds = m.now
+	if m.loadEndsAt > 0 {
+		m.loadEndsAt = m.now
 		m.finishLoad()
 	}
 }
