--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -128,11 +128,11 @@
 	chunk   map[*sequence]int
 	now     time.Duration
 
-	draining   bool
-	loadEndsAt time.Duration // 0 when not loading
-	loading    string
-	fence      control.Fence
-	loads      []loadSample
+	draining       bool
+	loadEndsAt     time.Duration // 0 when not loading
+	loadingWeights string
+	fence          control.Fence
+	loads          []loadSample
 	// Import returns how many leading blocks of a chain the source can give; nil disables copies.
 	Import func(source string, chain []prefix.Hash) int
 }
--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -89,7 +89,7 @@
 	if call.Order == nil || call.Order.Weights == m.Weights || m.loadEndsAt > 0 {
 		return true
 	}
-	m.loading = call.Order.Weights
+	m.loadingWeights = call.Order.Weights
 	m.loadEndsAt = m.now + loadTime
 	return true
 }
@@ -99,7 +99,7 @@
 	if m.loadEndsAt == 0 || m.now < m.loadEndsAt || m.Busy() > 0 {
 		return
 	}
-	m.Weights = m.loading
+	m.Weights = m.loadingWeights
 	m.loadEndsAt = 0
 }
 
