--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -125,7 +125,7 @@
 	running []*sequence
 	stepEnd time.Duration // end of the step in progress; 0 when idle
 	step    []*sequence   // sequences of the step in progress
-	chunk   map[*sequence]int
+	chunks  map[*sequence]int
 	now     time.Duration
 
 	draining       bool
@@ -148,7 +148,7 @@
 	random := rand.New(rand.NewPCG(seed, incarnation))
 	return &Model{
 		Name: name, Incarnation: incarnation, Weights: weights, rates: rates, blockTokens: blockTokens,
-		random: random, guards: guards, cache: newCache(rates, random), chunk: map[*sequence]int{},
+		random: random, guards: guards, cache: newCache(rates, random), chunks: map[*sequence]int{},
 	}
 }
 
@@ -261,7 +261,7 @@
 	outputs = m.admitWaiting(outputs)
 	budget := m.rates.ChunkTokens
 	prefill, decoding := 0, 0
-	clear(m.chunk)
+	clear(m.chunks)
 	m.step = m.step[:0]
 	for _, held := range m.byLane() {
 		if held.importing {
@@ -278,7 +278,7 @@
 		if take := min(budget, held.promptTokensLeft); take > 0 {
 			budget -= take
 			prefill += take
-			m.chunk[held] = take
+			m.chunks[held] = take
 			m.step = append(m.step, held)
 		}
 	}
@@ -359,7 +359,7 @@
 func (m *Model) endStep(outputs []Output) []Output {
 	m.stepEnd = 0
 	for _, held := range m.step {
-		if take := m.chunk[held]; take > 0 {
+		if take := m.chunks[held]; take > 0 {
 			held.promptTokensLeft -= take
 			if held.promptTokensLeft > 0 {
 				continue
