--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -132,7 +132,7 @@
 	loadEndsAt     time.Duration // 0 when not loading
 	loadingWeights string
 	fence          control.Fence
-	loads          []loadSample
+	loadHistory    []loadSample
 	// Import returns how many leading blocks of a chain the source can give; nil disables copies.
 	Import func(source string, chain []prefix.Hash) int
 }
--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -13,12 +13,12 @@
 
 // sampleLoad records the true load, at most every few milliseconds.
 func (m *Model) sampleLoad() {
-	if n := len(m.loads); n > 0 && m.now < m.loads[n-1].at+5*time.Millisecond {
+	if n := len(m.loadHistory); n > 0 && m.now < m.loadHistory[n-1].at+5*time.Millisecond {
 		return
 	}
-	m.loads = append(m.loads, loadSample{at: m.now, load: m.TrueLoad()})
-	if len(m.loads) > loadSamplesKept {
-		m.loads = m.loads[1:]
+	m.loadHistory = append(m.loadHistory, loadSample{at: m.now, load: m.TrueLoad()})
+	if len(m.loadHistory) > loadSamplesKept {
+		m.loadHistory = m.loadHistory[1:]
 	}
 }
 
@@ -48,9 +48,9 @@
 
 // laggedLoad returns the newest load that is at least LoadLag old.
 func (m *Model) laggedLoad() core.Load {
-	for i := len(m.loads) - 1; i >= 0; i-- {
-		if age := m.now - m.loads[i].at; age >= m.rates.LoadLag || i == 0 {
-			load := m.loads[i].load
+	for i := len(m.loadHistory) - 1; i >= 0; i-- {
+		if age := m.now - m.loadHistory[i].at; age >= m.rates.LoadLag || i == 0 {
+			load := m.loadHistory[i].load
 			load.Age = age
 			return load
 		}
