--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -190,8 +190,8 @@
 	m.step = slices.DeleteFunc(m.step, matches)
 }
 
-// Busy returns the number of jobs not finished yet.
-func (m *Model) Busy() int { return len(m.waiting) + len(m.running) }
+// UnfinishedJobs returns the number of jobs not finished yet.
+func (m *Model) UnfinishedJobs() int { return len(m.waiting) + len(m.running) }
 
 // NextDue returns when Advance has something to do, or false when the engine is idle.
 func (m *Model) NextDue() (time.Duration, bool) {
@@ -206,7 +206,7 @@
 	} else {
 		m.considerStart(consider)
 	}
-	if m.loadEndsAt > 0 && m.Busy() == 0 {
+	if m.loadEndsAt > 0 && m.UnfinishedJobs() == 0 {
 		consider(m.loadEndsAt)
 	}
 	return due, any
--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -96,7 +96,7 @@
 
 // finishLoad puts new weights to use when they have arrived and no job runs on the old ones any more.
 func (m *Model) finishLoad() {
-	if m.loadEndsAt == 0 || m.now < m.loadEndsAt || m.Busy() > 0 {
+	if m.loadEndsAt == 0 || m.now < m.loadEndsAt || m.UnfinishedJobs() > 0 {
 		return
 	}
 	m.Weights = m.loadingWeights
