--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -109,7 +109,7 @@
 	for _, output := range e.model.Advance(now) {
 		e.output(output)
 	}
-	due, any := e.model.NextDue()
+	due, any := e.model.NextWakeup()
 	if !any {
 		return
 	}
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -193,8 +193,8 @@
 // UnfinishedJobs returns the number of jobs not finished yet.
 func (m *Model) UnfinishedJobs() int { return len(m.waiting) + len(m.running) }
 
-// NextDue returns when Advance has something to do, or false when the engine is idle.
-func (m *Model) NextDue() (time.Duration, bool) {
+// NextWakeup returns when Advance has something to do, or false when the engine is idle.
+func (m *Model) NextWakeup() (time.Duration, bool) {
 	due, any := time.Duration(0), false
 	consider := func(at time.Duration) {
 		if !any || at < due {
@@ -237,7 +237,7 @@
 func (m *Model) Advance(now time.Duration) []Output {
 	var outputs []Output
 	for {
-		due, any := m.NextDue()
+		due, any := m.NextWakeup()
 		if !any || due > now {
 			break
 		}
--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -42,7 +42,7 @@
 	copying.ImportBlocks, copying.ImportFrom = 4, "other"
 	model.running = append(model.running, &sequence{job: copying, importing: true, importEndsAt: time.Millisecond, promptTokensLeft: 1})
 	model.now = 2 * time.Millisecond
-	if due, _ := model.NextDue(); due != model.stepEnd {
+	if due, _ := model.NextWakeup(); due != model.stepEnd {
 		t.Fatalf("due at %v while the step ends at %v", due, model.stepEnd)
 	}
 }
@@ -50,7 +50,7 @@
 func runUntilIdle(model *Model) []Output {
 	var all []Output
 	for {
-		due, any := model.NextDue()
+		due, any := model.NextWakeup()
 		if !any {
 			return all
 		}
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -90,7 +90,7 @@
 	for _, output := range e.model.Advance(e.w.now()) {
 		e.output(output)
 	}
-	due, any := e.model.NextDue()
+	due, any := e.model.NextWakeup()
 	if any {
 		e.alarm.Set(e.w.now(), due, time.Microsecond, e.after, e.advance)
 	}
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -112,7 +112,7 @@
 			e.model.Cancel(output.Job.Origin, output.Job.Attempt)
 		}
 	}
-	due, any := e.model.NextDue()
+	due, any := e.model.NextWakeup()
 	if !any {
 		return idleAdvance
 	}
