--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -204,7 +204,7 @@
 	if m.stepEnd > 0 {
 		consider(m.stepEnd)
 	} else {
-		m.considerStart(consider)
+		m.considerStepStart(consider)
 	}
 	if m.loadEndsAt > 0 && m.UnfinishedJobs() == 0 {
 		consider(m.loadEndsAt)
@@ -212,9 +212,9 @@
 	return due, any
 }
 
-// considerStart offers the times at which the next step can begin: now, or when a copy ends. A copy that ends
+// considerStepStart offers the times at which the next step can begin: now, or when a copy ends. A copy that ends
 // during a step waits for the step.
-func (m *Model) considerStart(consider func(time.Duration)) {
+func (m *Model) considerStepStart(consider func(time.Duration)) {
 	if m.hasStepWork() {
 		consider(m.now)
 	}
