--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -263,7 +263,7 @@
 	prefill, decoding := 0, 0
 	clear(m.chunks)
 	m.step = m.step[:0]
-	for _, held := range m.byLane() {
+	for _, held := range m.runningByLane() {
 		if held.importing {
 			if held.importEndsAt > m.now {
 				continue
@@ -293,8 +293,8 @@
 	return outputs
 }
 
-// byLane returns the running sequences with the interactive lane first, otherwise in order of arrival.
-func (m *Model) byLane() []*sequence {
+// runningByLane returns the running sequences with the interactive lane first, otherwise in order of arrival.
+func (m *Model) runningByLane() []*sequence {
 	ordered := slices.Clone(m.running)
 	slices.SortStableFunc(ordered, func(a, b *sequence) int { return int(a.job.Lane) - int(b.job.Lane) })
 	return ordered
