--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -306,7 +306,7 @@
 	slices.SortStableFunc(m.waiting, func(a, b *sequence) int { return int(a.job.Lane) - int(b.job.Lane) })
 	for len(m.waiting) > 0 && len(m.running) < m.rates.MaxBatch {
 		next := m.waiting[0]
-		if open := m.openPrefill(next.job.Lane); open >= m.rates.ChunkTokens {
+		if open := m.competingPrefillTokens(next.job.Lane); open >= m.rates.ChunkTokens {
 			break
 		}
 		m.waiting = m.waiting[1:]
@@ -317,8 +317,8 @@
 	return outputs
 }
 
-// openPrefill is the prefill of running sequences that a new one of the lane would wait for.
-func (m *Model) openPrefill(lane core.Lane) int {
+// competingPrefillTokens is the prefill of running sequences that a new one of the lane would wait for.
+func (m *Model) competingPrefillTokens(lane core.Lane) int {
 	open := 0
 	for _, held := range m.running {
 		if held.promptTokensLeft > 0 && !held.importing && held.job.Lane <= lane {
