--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -311,7 +311,7 @@
 		}
 		m.waiting = m.waiting[1:]
 		m.running = append(m.running, next)
-		m.start(next)
+		m.startSequence(next)
 		outputs = append(outputs, Output{Kind: OutputStarted, Job: next.job, Cached: next.cached, Imported: next.imported, Weights: m.Weights})
 	}
 	return outputs
@@ -328,8 +328,8 @@
 	return open
 }
 
-// start looks up the cache, begins a copy if one was asked for and helps, and counts what must be computed.
-func (m *Model) start(held *sequence) {
+// startSequence looks up the cache, begins a copy if one was asked for and helps, and counts what must be computed.
+func (m *Model) startSequence(held *sequence) {
 	job := held.job
 	matched := 0
 	if held.reuse {
