--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -364,7 +364,7 @@
 			if held.promptTokensLeft > 0 {
 				continue
 			}
-			m.prefilled(held)
+			m.finishPrefill(held)
 		}
 		if held.emitted >= held.job.MaxTokens { // resumed at the very end: only the end marker was missing
 			continue
@@ -386,8 +386,8 @@
 	return outputs
 }
 
-// prefilled puts the computed blocks into the cache.
-func (m *Model) prefilled(held *sequence) {
+// finishPrefill puts the computed blocks into the cache.
+func (m *Model) finishPrefill(held *sequence) {
 	m.cache.insert(held.computed, m.now)
 	m.cache.pin(held.computed)
 	if len(held.computed) > 0 {
