--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -141,7 +141,7 @@
 func (r *run) deepestHolder(chain []prefix.Hash) (string, int) {
 	source, deepest := "", 0
 	for _, e := range r.engines {
-		if held := e.model.Holds(chain); !e.down && held > deepest {
+		if held := e.model.CachedPrefix(chain); !e.down && held > deepest {
 			source, deepest = e.name, held
 		}
 	}
--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -172,7 +172,7 @@
 func (p clairvoyantPlacer) correct(context core.PlacementContext, candidate *core.Candidate, source string, deepest int) {
 	node := p.run.engines[candidate.Engine]
 	rates := p.run.rates
-	held := node.model.Holds(context.Request.Chains[0].Blocks)
+	held := node.model.CachedPrefix(context.Request.Chains[0].Blocks)
 	compute := p.tokensLeft(context.Request, held)
 	copied, displaced := time.Duration(0), time.Duration(0)
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -400,8 +400,8 @@
 // Export returns how many leading blocks of a chain the engine holds, for a copy.
 func (m *Model) Export(now time.Duration, chain []prefix.Hash) int { return m.cache.match(chain, now) }
 
-// Holds returns the same without touching the blocks.
-func (m *Model) Holds(chain []prefix.Hash) int { return m.cache.peek(chain) }
+// CachedPrefix returns the same without touching the blocks.
+func (m *Model) CachedPrefix(chain []prefix.Hash) int { return m.cache.peek(chain) }
 
 // Snapshot returns every cached block and the sequence of the next event.
 func (m *Model) Snapshot() ([]prefix.Hash, uint64) { return m.cache.blockHashes(), m.cache.sequence }
