--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -158,7 +158,7 @@
 	}
 	for _, e := range r.engines {
 		if e.name == source && !e.down {
-			return e.model.Export(r.clock.Now(), chain)
+			return e.model.ExportablePrefix(r.clock.Now(), chain)
 		}
 	}
 	return 0
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -397,8 +397,10 @@
 
 func (m *Model) release(held *sequence) { m.cache.unpin(held.pinned, m.now) }
 
-// Export returns how many leading blocks of a chain the engine holds, for a copy.
-func (m *Model) Export(now time.Duration, chain []prefix.Hash) int { return m.cache.match(chain, now) }
+// ExportablePrefix returns how many leading blocks of a chain the engine holds, for a copy.
+func (m *Model) ExportablePrefix(now time.Duration, chain []prefix.Hash) int {
+	return m.cache.match(chain, now)
+}
 
 // CachedPrefix returns the same without touching the blocks.
 func (m *Model) CachedPrefix(chain []prefix.Hash) int { return m.cache.peek(chain) }
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -188,7 +188,7 @@
 	if other == nil || !other.up || other.frozen || e.w.isCut(e.process, other.process) {
 		return 0
 	}
-	held := other.model.Export(e.w.now(), chain)
+	held := other.model.ExportablePrefix(e.w.now(), chain)
 	for _, hash := range chain[:held] {
 		e.cached[hash] = other.cached[hash]
 	}
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -269,7 +269,7 @@
 		writeJSON(w, http.StatusOK, api.KVReply{})
 		return
 	}
-	held := e.model.Export(e.now(), request.Blocks)
+	held := e.model.ExportablePrefix(e.now(), request.Blocks)
 	e.mutex.Unlock()
 	writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: held})
 }
