--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -179,7 +179,7 @@
 
 // Cancel drops a job wherever it stands.
 func (m *Model) Cancel(origin string, attempt core.AttemptID) {
-	matches := func(held *sequence) bool { return held.job.Attempt == attempt && held.job.Origin == origin }
+	matches := func(seq *sequence) bool { return seq.job.Attempt == attempt && seq.job.Origin == origin }
 	m.waiting = slices.DeleteFunc(m.waiting, matches)
 	for _, held := range m.running {
 		if matches(held) {
