--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -181,9 +181,9 @@
 func (m *Model) Cancel(origin string, attempt core.AttemptID) {
 	matches := func(seq *sequence) bool { return seq.job.Attempt == attempt && seq.job.Origin == origin }
 	m.waiting = slices.DeleteFunc(m.waiting, matches)
-	for _, held := range m.running {
-		if matches(held) {
-			m.release(held)
+	for _, seq := range m.running {
+		if matches(seq) {
+			m.release(seq)
 		}
 	}
 	m.running = slices.DeleteFunc(m.running, matches)
