--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -218,9 +218,9 @@
 	if m.hasStepWork() {
 		consider(m.now)
 	}
-	for _, held := range m.running {
-		if held.importing {
-			consider(held.importEndsAt)
+	for _, seq := range m.running {
+		if seq.importing {
+			consider(seq.importEndsAt)
 		}
 	}
 }
