--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -230,7 +230,7 @@
 	if len(m.waiting) > 0 && len(m.running) < m.rates.MaxBatch {
 		return true
 	}
-	return slices.ContainsFunc(m.running, func(held *sequence) bool { return !held.importing || held.importEndsAt <= m.now })
+	return slices.ContainsFunc(m.running, func(seq *sequence) bool { return !seq.importing || seq.importEndsAt <= m.now })
 }
 
 // Advance runs the engine up to now and returns what it produced, in order.
