--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -263,23 +263,23 @@
 	prefill, decoding := 0, 0
 	clear(m.chunks)
 	m.step = m.step[:0]
-	for _, held := range m.runningByLane() {
-		if held.importing {
-			if held.importEndsAt > m.now {
+	for _, seq := range m.runningByLane() {
+		if seq.importing {
+			if seq.importEndsAt > m.now {
 				continue
 			}
-			held.importing = false
+			seq.importing = false
 		}
-		if held.promptTokensLeft == 0 {
+		if seq.promptTokensLeft == 0 {
 			decoding++
-			m.step = append(m.step, held)
+			m.step = append(m.step, seq)
 			continue
 		}
-		if take := min(budget, held.promptTokensLeft); take > 0 {
+		if take := min(budget, seq.promptTokensLeft); take > 0 {
 			budget -= take
 			prefill += take
-			m.chunks[held] = take
-			m.step = append(m.step, held)
+			m.chunks[seq] = take
+			m.step = append(m.step, seq)
 		}
 	}
 	if len(m.step) == 0 {
