--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -320,9 +320,9 @@
 // competingPrefillTokens is the prefill of running sequences that a new one of the lane would wait for.
 func (m *Model) competingPrefillTokens(lane core.Lane) int {
 	open := 0
-	for _, held := range m.running {
-		if held.promptTokensLeft > 0 && !held.importing && held.job.Lane <= lane {
-			open += held.promptTokensLeft
+	for _, seq := range m.running {
+		if seq.promptTokensLeft > 0 && !seq.importing && seq.job.Lane <= lane {
+			open += seq.promptTokensLeft
 		}
 	}
 	return open
