--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -329,29 +329,29 @@
 }
 
 // startSequence looks up the cache, begins a copy if one was asked for and helps, and counts what must be computed.
-func (m *Model) startSequence(held *sequence) {
-	job := held.job
+func (m *Model) startSequence(seq *sequence) {
+	job := seq.job
 	matched := 0
-	if held.reuse {
+	if seq.reuse {
 		matched = m.cache.match(job.Blocks, m.now)
 	}
-	if held.reuse && job.ImportBlocks > matched && m.Import != nil {
+	if seq.reuse && job.ImportBlocks > matched && m.Import != nil {
 		available := min(m.Import(job.ImportFrom, job.Blocks[:min(job.ImportBlocks, len(job.Blocks))]), len(job.Blocks))
 		if available > matched {
 			tokens := (available - matched) * m.blockTokens
-			held.imported = tokens
-			held.importing = true
-			held.importEndsAt = m.now + time.Duration(float64(tokens)/m.rates.ImportTokensPerSecond*float64(time.Second))
+			seq.imported = tokens
+			seq.importing = true
+			seq.importEndsAt = m.now + time.Duration(float64(tokens)/m.rates.ImportTokensPerSecond*float64(time.Second))
 			m.cache.insert(job.Blocks[matched:available], m.now)
 			matched = available
 		}
 	}
-	held.pinned = job.Blocks[:matched]
-	m.cache.pin(held.pinned)
-	held.cached = matched * m.blockTokens
-	held.promptTokensLeft = max(1, job.PromptTokens+job.ResumeFrom-held.cached)
+	seq.pinned = job.Blocks[:matched]
+	m.cache.pin(seq.pinned)
+	seq.cached = matched * m.blockTokens
+	seq.promptTokensLeft = max(1, job.PromptTokens+job.ResumeFrom-seq.cached)
 	if job.Weights == m.Weights { // other weights give other contents than the chain stands for
-		held.computed = job.Blocks[matched:]
+		seq.computed = job.Blocks[matched:]
 	}
 }
 
