--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -358,23 +358,23 @@
 // endStep hands out the tokens of the step and finishes sequences.
 func (m *Model) endStep(outputs []Output) []Output {
 	m.stepEnd = 0
-	for _, held := range m.step {
-		if take := m.chunks[held]; take > 0 {
-			held.promptTokensLeft -= take
-			if held.promptTokensLeft > 0 {
+	for _, seq := range m.step {
+		if take := m.chunks[seq]; take > 0 {
+			seq.promptTokensLeft -= take
+			if seq.promptTokensLeft > 0 {
 				continue
 			}
-			m.finishPrefill(held)
+			m.finishPrefill(seq)
 		}
-		if held.emitted >= held.job.MaxTokens { // resumed at the very end: only the end marker was missing
+		if seq.emitted >= seq.job.MaxTokens { // resumed at the very end: only the end marker was missing
 			continue
 		}
 		outputs = append(outputs, Output{
-			Kind: OutputToken, Job: held.job, Index: held.emitted, Cached: held.cached,
-			Imported: held.imported, Computed: held.computed, Weights: m.Weights,
+			Kind: OutputToken, Job: seq.job, Index: seq.emitted, Cached: seq.cached,
+			Imported: seq.imported, Computed: seq.computed, Weights: m.Weights,
 		})
-		held.computed = nil
-		held.emitted++
+		seq.computed = nil
+		seq.emitted++
 	}
 	for _, held := range m.step {
 		if held.promptTokensLeft == 0 && held.emitted >= held.job.MaxTokens {
