--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -376,11 +376,11 @@
 		seq.computed = nil
 		seq.emitted++
 	}
-	for _, held := range m.step {
-		if held.promptTokensLeft == 0 && held.emitted >= held.job.MaxTokens {
-			outputs = append(outputs, Output{Kind: OutputDone, Job: held.job, Index: held.emitted, Computed: held.computed, Weights: m.Weights})
-			m.release(held)
-			m.running = slices.DeleteFunc(m.running, func(other *sequence) bool { return other == held })
+	for _, seq := range m.step {
+		if seq.promptTokensLeft == 0 && seq.emitted >= seq.job.MaxTokens {
+			outputs = append(outputs, Output{Kind: OutputDone, Job: seq.job, Index: seq.emitted, Computed: seq.computed, Weights: m.Weights})
+			m.release(seq)
+			m.running = slices.DeleteFunc(m.running, func(other *sequence) bool { return other == seq })
 		}
 	}
 	return outputs
