--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -387,11 +387,11 @@
 }
 
 // finishPrefill puts the computed blocks into the cache.
-func (m *Model) finishPrefill(held *sequence) {
-	m.cache.insert(held.computed, m.now)
-	m.cache.pin(held.computed)
-	if len(held.computed) > 0 {
-		held.pinned = held.job.Blocks
+func (m *Model) finishPrefill(seq *sequence) {
+	m.cache.insert(seq.computed, m.now)
+	m.cache.pin(seq.computed)
+	if len(seq.computed) > 0 {
+		seq.pinned = seq.job.Blocks
 	}
 }
 
