--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -395,7 +395,7 @@
 	}
 }
 
-func (m *Model) release(held *sequence) { m.cache.unpin(held.pinned, m.now) }
+func (m *Model) release(seq *sequence) { m.cache.unpin(seq.pinned, m.now) }
 
 // ExportablePrefix returns how many leading blocks of a chain the engine holds, for a copy.
 func (m *Model) ExportablePrefix(now time.Duration, chain []prefix.Hash) int {
