--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -237,8 +237,8 @@
 func (m *Model) Advance(now time.Duration) []Output {
 	var outputs []Output
 	for {
-		due, any := m.NextWakeup()
-		if !any || due > now {
+		due, scheduled := m.NextWakeup()
+		if !scheduled || due > now {
 			break
 		}
 		m.now = max(m.now, due)
