--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -285,11 +285,11 @@
 	if len(m.step) == 0 {
 		return outputs
 	}
-	length := time.Duration(float64(prefill) / m.rates.PrefillTokensPerSecond * float64(time.Second))
+	duration := time.Duration(float64(prefill) / m.rates.PrefillTokensPerSecond * float64(time.Second))
 	if decoding > 0 {
-		length += m.rates.DecodeStep + time.Duration(decoding)*m.rates.DecodePerSeq
+		duration += m.rates.DecodeStep + time.Duration(decoding)*m.rates.DecodePerSeq
 	}
-	m.stepEnd = m.now + max(length, time.Microsecond)
+	m.stepEnd = m.now + max(duration, time.Microsecond)
 	return outputs
 }
 
