--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -275,10 +275,10 @@
 			m.step = append(m.step, seq)
 			continue
 		}
-		if take := min(budget, seq.promptTokensLeft); take > 0 {
-			budget -= take
-			prefill += take
-			m.chunks[seq] = take
+		if tokens := min(budget, seq.promptTokensLeft); tokens > 0 {
+			budget -= tokens
+			prefill += tokens
+			m.chunks[seq] = tokens
 			m.step = append(m.step, seq)
 		}
 	}
