--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -359,8 +359,8 @@
 func (m *Model) endStep(outputs []Output) []Output {
 	m.stepEnd = 0
 	for _, seq := range m.step {
-		if take := m.chunks[seq]; take > 0 {
-			seq.promptTokensLeft -= take
+		if tokens := m.chunks[seq]; tokens > 0 {
+			seq.promptTokensLeft -= tokens
 			if seq.promptTokensLeft > 0 {
 				continue
 			}
