--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -319,13 +319,13 @@
 
 // competingPrefillTokens is the prefill of running sequences that a new one of the lane would wait for.
 func (m *Model) competingPrefillTokens(lane core.Lane) int {
-	open := 0
+	tokens := 0
 	for _, seq := range m.running {
 		if seq.promptTokensLeft > 0 && !seq.importing && seq.job.Lane <= lane {
-			open += seq.promptTokensLeft
+			tokens += seq.promptTokensLeft
 		}
 	}
-	return open
+	return tokens
 }
 
 // startSequence looks up the cache, begins a copy if one was asked for and helps, and counts what must be computed.
