--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -8,8 +8,8 @@
 	"kitetiller/internal/guard"
 )
 
-// loadSamplesKept bounds the history from which lagging reports are taken.
-const loadSamplesKept = 64
+// maxLoadSamples bounds the history from which lagging reports are taken.
+const maxLoadSamples = 64
 
 // sampleLoad records the true load, at most every few milliseconds.
 func (m *Model) sampleLoad() {
@@ -17,7 +17,7 @@
 		return
 	}
 	m.loadHistory = append(m.loadHistory, loadSample{at: m.now, load: m.TrueLoad()})
-	if len(m.loadHistory) > loadSamplesKept {
+	if len(m.loadHistory) > maxLoadSamples {
 		m.loadHistory = m.loadHistory[1:]
 	}
 }
