--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -55,7 +55,7 @@
 // pendingTokens is the true prefill before a new request of a lane, what is under way included.
 func (e *engineNode) pendingTokens(lane core.Lane) int {
 	e.advance()
-	load := e.model.TrueLoad()
+	load := e.model.CurrentLoad()
 	if lane == core.LaneInteractive {
 		return load.InteractiveTokens + e.underWayQuick
 	}
--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -16,14 +16,14 @@
 	if n := len(m.loadHistory); n > 0 && m.now < m.loadHistory[n-1].at+5*time.Millisecond {
 		return
 	}
-	m.loadHistory = append(m.loadHistory, loadSample{at: m.now, load: m.TrueLoad()})
+	m.loadHistory = append(m.loadHistory, loadSample{at: m.now, load: m.CurrentLoad()})
 	if len(m.loadHistory) > maxLoadSamples {
 		m.loadHistory = m.loadHistory[1:]
 	}
 }
 
-// TrueLoad returns the load without lag.
-func (m *Model) TrueLoad() core.Load {
+// CurrentLoad returns the load without lag.
+func (m *Model) CurrentLoad() core.Load {
 	load := core.Load{
 		Running: len(m.running), Waiting: len(m.waiting), PrefillRate: m.rates.PrefillTokensPerSecond, EvictionAge: m.cache.evictionAge(),
 	}
@@ -55,7 +55,7 @@
 			return load
 		}
 	}
-	return m.TrueLoad()
+	return m.CurrentLoad()
 }
 
 // Report returns the answer to a state poll with the events after a sequence.
