--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -75,9 +75,9 @@
 // Loading reports whether weights are being loaded.
 func (m *Model) Loading() bool { return m.loadEndsAt > 0 }
 
-// Order takes a fenced call. It returns false when a higher fence was seen before, or the order was meant
+// HandleCall takes a fenced call. It returns false when a higher fence was seen before, or the order was meant
 // for an earlier life. loadTime is how long the weights take to load now.
-func (m *Model) Order(now time.Duration, call control.EngineCall, loadTime time.Duration) bool {
+func (m *Model) HandleCall(now time.Duration, call control.EngineCall, loadTime time.Duration) bool {
 	m.now = max(m.now, now)
 	if m.guards.On(guard.FenceCheck) && call.Fence.Less(m.fence) {
 		return false
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -289,7 +289,7 @@
 	}
 	e.mutex.Lock()
 	loadingBefore := e.model.Loading()
-	accepted := e.model.Order(e.now(), call, unlimitedLoad)
+	accepted := e.model.HandleCall(e.now(), call, unlimitedLoad)
 	begins := !loadingBefore && e.model.Loading()
 	fence := e.model.Fence()
 	e.mutex.Unlock()
