--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -106,9 +106,9 @@
 // FailLoad gives up a load whose weights could not be fetched; the old weights stay.
 func (m *Model) FailLoad() { m.loadEndsAt = 0 }
 
-// LoadTime returns the time to load weights when count engines load at once and the store serves limit at
+// ContendedLoadTime returns the time to load weights when count engines load at once and the store serves limit at
 // full speed.
-func LoadTime(alone time.Duration, count, limit int) time.Duration {
+func ContendedLoadTime(alone time.Duration, count, limit int) time.Duration {
 	if count <= limit {
 		return alone
 	}
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -205,7 +205,7 @@
 			loading++
 		}
 	}
-	accepted := e.model.HandleCall(e.w.now(), call, engine.LoadTime(weightsLoad, loading, loadsAtOnce))
+	accepted := e.model.HandleCall(e.w.now(), call, engine.ContendedLoadTime(weightsLoad, loading, loadsAtOnce))
 	if call.Order != nil {
 		e.w.logf("%s is ordered to load %s by %d/%d: accepted=%v", e.name, call.Order.Weights, call.Fence.Term, call.Fence.Sequence, accepted)
 	}
--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -118,7 +118,7 @@
 	}
 	s.mutex.Lock()
 	s.active++
-	length := engine.LoadTime(s.config.LoadTime, s.active, s.config.Concurrent)
+	length := engine.ContendedLoadTime(s.config.LoadTime, s.active, s.config.Concurrent)
 	s.mutex.Unlock()
 	time.Sleep(length)
 	s.mutex.Lock()
