--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -108,11 +108,11 @@
 
 // ContendedLoadTime returns the time to load weights when count engines load at once and the store serves limit at
 // full speed.
-func ContendedLoadTime(uncontended time.Duration, count, limit int) time.Duration {
-	if count <= limit {
+func ContendedLoadTime(uncontended time.Duration, count, fullSpeedLimit int) time.Duration {
+	if count <= fullSpeedLimit {
 		return uncontended
 	}
-	return time.Duration(float64(uncontended) * float64(count) / float64(limit))
+	return time.Duration(float64(uncontended) * float64(count) / float64(fullSpeedLimit))
 }
 
 // CompleteLoad ends a load whose length was not known in advance.
