--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -33,8 +33,8 @@
 			load.InteractiveTokens += tokens
 		}
 	}
-	for _, held := range m.running {
-		count(held.promptTokensLeft, held.job.Lane)
+	for _, seq := range m.running {
+		count(seq.promptTokensLeft, seq.job.Lane)
 	}
 	for _, held := range m.waiting {
 		known := 0
