--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -36,12 +36,12 @@
 	for _, seq := range m.running {
 		count(seq.promptTokensLeft, seq.job.Lane)
 	}
-	for _, held := range m.waiting {
+	for _, seq := range m.waiting {
 		known := 0
-		if held.reuse {
-			known = m.cache.peek(held.job.Blocks) * m.blockTokens
+		if seq.reuse {
+			known = m.cache.peek(seq.job.Blocks) * m.blockTokens
 		}
-		count(max(1, held.job.PromptTokens-known), held.job.Lane)
+		count(max(1, seq.job.PromptTokens-known), seq.job.Lane)
 	}
 	return load
 }
