--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -37,11 +37,11 @@
 		count(seq.promptTokensLeft, seq.job.Lane)
 	}
 	for _, seq := range m.waiting {
-		known := 0
+		cachedTokens := 0
 		if seq.reuse {
-			known = m.cache.peek(seq.job.Blocks) * m.blockTokens
+			cachedTokens = m.cache.peek(seq.job.Blocks) * m.blockTokens
 		}
-		count(max(1, seq.job.PromptTokens-known), seq.job.Lane)
+		count(max(1, seq.job.PromptTokens-cachedTokens), seq.job.Lane)
 	}
 	return load
 }
