--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -27,21 +27,21 @@
 	load := core.Load{
 		Running: len(m.running), Waiting: len(m.waiting), PrefillRate: m.rates.PrefillTokensPerSecond, EvictionAge: m.cache.evictionAge(),
 	}
-	count := func(tokens int, lane core.Lane) {
+	addTokens := func(tokens int, lane core.Lane) {
 		load.WaitingTokens += tokens
 		if lane == core.LaneInteractive {
 			load.InteractiveTokens += tokens
 		}
 	}
 	for _, seq := range m.running {
-		count(seq.promptTokensLeft, seq.job.Lane)
+		addTokens(seq.promptTokensLeft, seq.job.Lane)
 	}
 	for _, seq := range m.waiting {
 		cachedTokens := 0
 		if seq.reuse {
 			cachedTokens = m.cache.peek(seq.job.Blocks) * m.blockTokens
 		}
-		count(max(1, seq.job.PromptTokens-cachedTokens), seq.job.Lane)
+		addTokens(max(1, seq.job.PromptTokens-cachedTokens), seq.job.Lane)
 	}
 	return load
 }
