--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -50,8 +50,8 @@
 func runUntilIdle(model *Model) []Output {
 	var all []Output
 	for {
-		due, any := model.NextWakeup()
-		if !any {
+		due, scheduled := model.NextWakeup()
+		if !scheduled {
 			return all
 		}
 		all = append(all, model.Advance(due)...)
