--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -20,7 +20,7 @@
 	return chain
 }
 
-func jobOf(attempt int, chain []prefix.Hash, tokens int) *Job {
+func newTestJob(attempt int, chain []prefix.Hash, tokens int) *Job {
 	return &Job{
 		Attempt: core.AttemptID(attempt), Origin: "router", Blocks: chain, PromptTokens: len(chain) * testBlockTokens,
 		MaxTokens: tokens, Incarnation: 1, Weights: "w1",
@@ -36,9 +36,9 @@
 func TestNextDueIsEndOfStepDuringCopy(t *testing.T) {
 	model := newTestModel()
 	model.Import = func(string, []prefix.Hash) int { return 4 }
-	model.Submit(0, jobOf(1, chainOf(1, 100), 1))
+	model.Submit(0, newTestJob(1, chainOf(1, 100), 1))
 	model.Advance(0)
-	copying := jobOf(2, chainOf(2, 5), 1)
+	copying := newTestJob(2, chainOf(2, 5), 1)
 	copying.ImportBlocks, copying.ImportFrom = 4, "other"
 	model.running = append(model.running, &sequence{job: copying, importing: true, importEndsAt: time.Millisecond, promptTokensLeft: 1})
 	model.now = 2 * time.Millisecond
@@ -60,9 +60,9 @@
 
 func TestSecondPromptReusesThePrefix(t *testing.T) {
 	model := newTestModel()
-	model.Submit(0, jobOf(1, chainOf(1, 20), 3))
+	model.Submit(0, newTestJob(1, chainOf(1, 20), 3))
 	runUntilIdle(model)
-	model.Submit(model.now, jobOf(2, chainOf(1, 20), 3))
+	model.Submit(model.now, newTestJob(2, chainOf(1, 20), 3))
 	outputs := runUntilIdle(model)
 	if outputs[0].Kind != OutputStarted || outputs[0].Cached != 20*testBlockTokens {
 		t.Fatalf("started with %d cached tokens, want %d", outputs[0].Cached, 20*testBlockTokens)
@@ -71,7 +71,7 @@
 
 func TestStreamIsWholeAndInOrder(t *testing.T) {
 	model := newTestModel()
-	resumed := jobOf(1, chainOf(1, 3), 9)
+	resumed := newTestJob(1, chainOf(1, 3), 9)
 	resumed.ResumeFrom = 4
 	model.Submit(0, resumed)
 	next := 4
@@ -90,9 +90,9 @@
 
 func TestOtherLifeIsNotReused(t *testing.T) {
 	model := newTestModel()
-	model.Submit(0, jobOf(1, chainOf(1, 20), 1))
+	model.Submit(0, newTestJob(1, chainOf(1, 20), 1))
 	runUntilIdle(model)
-	old := jobOf(2, chainOf(1, 20), 1)
+	old := newTestJob(2, chainOf(1, 20), 1)
 	old.Incarnation = 7
 	if result := model.Submit(model.now, old); result != AcceptedWithoutReuse {
 		t.Fatalf("result %v, want TakenWithoutReuse", result)
@@ -104,7 +104,7 @@
 
 func TestCancelledJobGivesNothingMore(t *testing.T) {
 	model := newTestModel()
-	model.Submit(0, jobOf(1, chainOf(1, 20), 50))
+	model.Submit(0, newTestJob(1, chainOf(1, 20), 50))
 	model.Advance(200 * time.Millisecond)
 	model.Cancel("router", 1)
 	if left := runUntilIdle(model); len(left) != 0 || model.UnfinishedJobs() != 0 {
@@ -115,7 +115,7 @@
 func TestBackendsThatLeaveOrLoadRefuse(t *testing.T) {
 	model := newTestModel()
 	model.SetLeaving(true)
-	if result := model.Submit(0, jobOf(1, chainOf(1, 2), 1)); result != RejectedDraining {
+	if result := model.Submit(0, newTestJob(1, chainOf(1, 2), 1)); result != RejectedDraining {
 		t.Fatalf("result %v, want RefusedLeaving", result)
 	}
 }
@@ -123,7 +123,7 @@
 // TestResumeAtTheEndGivesOnlyTheEndMarker: when the end marker was lost, a resume must not make another token.
 func TestResumeAtTheEndGivesOnlyTheEndMarker(t *testing.T) {
 	model := newTestModel()
-	resumed := jobOf(1, chainOf(1, 3), 9)
+	resumed := newTestJob(1, chainOf(1, 3), 9)
 	resumed.ResumeFrom = 9
 	model.Submit(0, resumed)
 	for _, output := range runUntilIdle(model) {
