--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -38,9 +38,9 @@
 	model.Import = func(string, []prefix.Hash) int { return 4 }
 	model.Submit(0, newTestJob(1, chainOf(1, 100), 1))
 	model.Advance(0)
-	copying := newTestJob(2, chainOf(2, 5), 1)
-	copying.ImportBlocks, copying.ImportFrom = 4, "other"
-	model.running = append(model.running, &sequence{job: copying, importing: true, importEndsAt: time.Millisecond, promptTokensLeft: 1})
+	importing := newTestJob(2, chainOf(2, 5), 1)
+	importing.ImportBlocks, importing.ImportFrom = 4, "other"
+	model.running = append(model.running, &sequence{job: importing, importing: true, importEndsAt: time.Millisecond, promptTokensLeft: 1})
 	model.now = 2 * time.Millisecond
 	if due, _ := model.NextWakeup(); due != model.stepEnd {
 		t.Fatalf("due at %v while the step ends at %v", due, model.stepEnd)
