--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -92,9 +92,9 @@
 	model := newTestModel()
 	model.Submit(0, newTestJob(1, chainOf(1, 20), 1))
 	runUntilIdle(model)
-	old := newTestJob(2, chainOf(1, 20), 1)
-	old.Incarnation = 7
-	if result := model.Submit(model.now, old); result != AcceptedWithoutReuse {
+	stale := newTestJob(2, chainOf(1, 20), 1)
+	stale.Incarnation = 7
+	if result := model.Submit(model.now, stale); result != AcceptedWithoutReuse {
 		t.Fatalf("result %v, want TakenWithoutReuse", result)
 	}
 	if outputs := runUntilIdle(model); outputs[0].Cached != 0 {
