--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// SetLeaving makes the engine refuse new work and report that it leaves.
-func (m *Model) SetLeaving(leaving bool) { m.draining = leaving }
+// SetDraining makes the engine refuse new work and report that it leaves.
+func (m *Model) SetDraining(leaving bool) { m.draining = leaving }
 
 // Submit takes or refuses a job. A refused job provably does not run.
 func (m *Model) Submit(now time.Duration, job *Job) SubmitResult {
--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -114,7 +114,7 @@
 
 func TestBackendsThatLeaveOrLoadRefuse(t *testing.T) {
 	model := newTestModel()
-	model.SetLeaving(true)
+	model.SetDraining(true)
 	if result := model.Submit(0, newTestJob(1, chainOf(1, 2), 1)); result != RejectedDraining {
 		t.Fatalf("result %v, want RefusedLeaving", result)
 	}
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -276,7 +276,7 @@
 
 func (e *Engine) serveLeave(w http.ResponseWriter, _ *http.Request) {
 	e.mutex.Lock()
-	e.model.SetLeaving(true)
+	e.model.SetDraining(true)
 	e.mutex.Unlock()
 	w.WriteHeader(http.StatusOK)
 }
