--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -153,7 +153,7 @@
 }
 
 // SetDraining makes the engine refuse new work and report that it leaves.
-func (m *Model) SetDraining(leaving bool) { m.draining = leaving }
+func (m *Model) SetDraining(draining bool) { m.draining = draining }
 
 // Submit takes or refuses a job. A refused job provably does not run.
 func (m *Model) Submit(now time.Duration, job *Job) SubmitResult {
