--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -103,8 +103,8 @@
 	m.loadEndsAt = 0
 }
 
-// FailLoad gives up a load whose weights could not be fetched; the old weights stay.
-func (m *Model) FailLoad() { m.loadEndsAt = 0 }
+// AbortLoad gives up a load whose weights could not be fetched; the old weights stay.
+func (m *Model) AbortLoad() { m.loadEndsAt = 0 }
 
 // ContendedLoadTime returns the time to load weights when count engines load at once and the store serves limit at
 // full speed.
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -307,7 +307,7 @@
 	defer e.mutex.Unlock()
 	if err != nil {
 		e.log.Warn("weights not fetched; the old ones stay", zap.String("weights", weights), zap.Error(err))
-		e.model.FailLoad()
+		e.model.AbortLoad()
 		return
 	}
 	e.model.CompleteLoad(e.now())
