--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -179,15 +179,15 @@
 
 // Cancel drops a job wherever it stands.
 func (m *Model) Cancel(origin string, attempt core.AttemptID) {
-	matches := func(seq *sequence) bool { return seq.job.Attempt == attempt && seq.job.Origin == origin }
-	m.waiting = slices.DeleteFunc(m.waiting, matches)
+	isTarget := func(seq *sequence) bool { return seq.job.Attempt == attempt && seq.job.Origin == origin }
+	m.waiting = slices.DeleteFunc(m.waiting, isTarget)
 	for _, seq := range m.running {
-		if matches(seq) {
+		if isTarget(seq) {
 			m.release(seq)
 		}
 	}
-	m.running = slices.DeleteFunc(m.running, matches)
-	m.step = slices.DeleteFunc(m.step, matches)
+	m.running = slices.DeleteFunc(m.running, isTarget)
+	m.step = slices.DeleteFunc(m.step, isTarget)
 }
 
 // UnfinishedJobs returns the number of jobs not finished yet.
