--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -31,9 +31,9 @@
 	return New("engine", 1, "w1", DefaultRates(), testBlockTokens, 1, guard.Set{})
 }
 
-// TestNextDueIsEndOfStepDuringCopy: a copy that ends while a step runs must not make the model due again and
+// TestNextWakeupIsEndOfStepDuringImport: a copy that ends while a step runs must not make the model due again and
 // again at a time when it can do nothing; Advance would never return.
-func TestNextDueIsEndOfStepDuringCopy(t *testing.T) {
+func TestNextWakeupIsEndOfStepDuringImport(t *testing.T) {
 	model := newTestModel()
 	model.Import = func(string, []prefix.Hash) int { return 4 }
 	model.Submit(0, newTestJob(1, chainOf(1, 100), 1))
