--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestSecondPromptReusesThePrefix(t *testing.T) {
+func TestSecondPromptReusesCachedPrefix(t *testing.T) {
 	model := newTestModel()
 	model.Submit(0, newTestJob(1, chainOf(1, 20), 3))
 	runUntilIdle(model)
