--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestStreamIsWholeAndInOrder(t *testing.T) {
+func TestResumedStreamIsCompleteAndOrdered(t *testing.T) {
 	model := newTestModel()
 	resumed := newTestJob(1, chainOf(1, 3), 9)
 	resumed.ResumeFrom = 4
