--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestOtherLifeIsNotReused(t *testing.T) {
+func TestCacheIsNotReusedAcrossIncarnations(t *testing.T) {
 	model := newTestModel()
 	model.Submit(0, newTestJob(1, chainOf(1, 20), 1))
 	runUntilIdle(model)
