--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestCancelledJobGivesNothingMore(t *testing.T) {
+func TestCancelledJobProducesNoOutput(t *testing.T) {
 	model := newTestModel()
 	model.Submit(0, newTestJob(1, chainOf(1, 20), 50))
 	model.Advance(200 * time.Millisecond)
