--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestBackendsThatLeaveOrLoadRefuse(t *testing.T) {
+func TestDrainingEngineRejectsJobs(t *testing.T) {
 	model := newTestModel()
 	model.SetDraining(true)
 	if result := model.Submit(0, newTestJob(1, chainOf(1, 2), 1)); result != RejectedDraining {
