--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -107,8 +107,8 @@
 	model.Submit(0, newTestJob(1, chainOf(1, 20), 50))
 	model.Advance(200 * time.Millisecond)
 	model.Cancel("router", 1)
-	if left := runUntilIdle(model); len(left) != 0 || model.UnfinishedJobs() != 0 {
-		t.Fatalf("%d outputs and %d jobs after the cancel", len(left), model.UnfinishedJobs())
+	if outputs := runUntilIdle(model); len(outputs) != 0 || model.UnfinishedJobs() != 0 {
+		t.Fatalf("%d outputs and %d jobs after the cancel", len(outputs), model.UnfinishedJobs())
 	}
 }
 
