--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return serviceOutcome{broken: true}
 	}
-	return serviceOutcome{complete: true, wrong: !bytes.Equal(data, standin.ServiceAnswer(body))}
+	return serviceOutcome{complete: true, wrong: !bytes.Equal(data, standin.ServiceResponse(body))}
 }
 
 // countService counts one request by the best of what its senders learned.
--- a/internal/lab/standin/answer.go
+++ b/internal/lab/standin/answer.go
@@ -22,8 +22,8 @@
 	return fmt.Sprintf("%06x ", xxhash.Sum64(buffer[:])&0xffffff)
 }
 
-// ServiceAnswer returns the answer of a small service to a body.
-func ServiceAnswer(body []byte) []byte {
+// ServiceResponse returns the answer of a small service to a body.
+func ServiceResponse(body []byte) []byte {
 	return fmt.Appendf(nil, `{"confirmed":"%016x"}`, xxhash.Sum64(body))
 }
 
--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -70,7 +70,7 @@
 	if rand.Float64() < s.config.DropAfter {
 		panic(http.ErrAbortHandler) // it ran, but the answer is lost
 	}
-	answer := ledger.Response{Status: http.StatusOK, ContentType: "application/json", Body: ServiceAnswer(request.Body)}
+	answer := ledger.Response{Status: http.StatusOK, ContentType: "application/json", Body: ServiceResponse(request.Body)}
 	writeJSON(w, http.StatusOK, api.RunResponse{Attempt: request.Attempt, Response: answer})
 }
 
