--- a/internal/lab/standin/answer.go
+++ b/internal/lab/standin/answer.go
@@ -35,11 +35,11 @@
 
 // readJSON decodes a body, or answers 400.
 func readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maximumBodyBytes)).Decode(target); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(target); err != nil {
 		http.Error(w, "the body is not the expected JSON: "+err.Error(), http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-const maximumBodyBytes = 64 << 20
+const maxBodyBytes = 64 << 20
