--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	jobRing       = 4096 // tokens that may wait for a slow router before the job is cancelled
-	idleAdvance   = 50 * time.Millisecond
-	busyAdvice    = 200 * time.Millisecond
-	kvTimeout     = time.Second
-	fetchTimeout  = 30 * time.Second
-	unlimitedLoad = time.Hour // the weight store decides when a load ends
+	outputQueueSize = 4096 // tokens that may wait for a slow router before the job is cancelled
+	idleAdvance     = 50 * time.Millisecond
+	busyAdvice      = 200 * time.Millisecond
+	kvTimeout       = time.Second
+	fetchTimeout    = 30 * time.Second
+	unlimitedLoad   = time.Hour // the weight store decides when a load ends
 )
 
 // EngineConfig is what an engine process needs to start.
@@ -131,7 +131,7 @@
 	if !readJSON(w, r, &request) {
 		return
 	}
-	state := &jobState{outputs: make(chan engine.Output, jobRing)}
+	state := &jobState{outputs: make(chan engine.Output, outputQueueSize)}
 	job := &engine.Job{
 		Attempt: request.Attempt, Origin: request.Router, Tenant: request.Tenant, Blocks: request.Blocks,
 		PromptTokens: request.PromptTokens, MaxTokens: request.MaxTokens, ResumeFrom: request.ResumeFrom,
