--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	outputQueueSize = 4096 // tokens that may wait for a slow router before the job is cancelled
-	idleAdvance     = 50 * time.Millisecond
-	busyAdvice      = 200 * time.Millisecond
-	kvTimeout       = time.Second
-	fetchTimeout    = 30 * time.Second
-	unlimitedLoad   = time.Hour // the weight store decides when a load ends
+	outputQueueSize    = 4096 // tokens that may wait for a slow router before the job is cancelled
+	maxAdvanceInterval = 50 * time.Millisecond
+	busyAdvice         = 200 * time.Millisecond
+	kvTimeout          = time.Second
+	fetchTimeout       = 30 * time.Second
+	unlimitedLoad      = time.Hour // the weight store decides when a load ends
 )
 
 // EngineConfig is what an engine process needs to start.
@@ -114,9 +114,9 @@
 	}
 	due, any := e.model.NextWakeup()
 	if !any {
-		return idleAdvance
+		return maxAdvanceInterval
 	}
-	return max(0, min(due-e.now(), idleAdvance))
+	return max(0, min(due-e.now(), maxAdvanceInterval))
 }
 
 func (e *Engine) nudge() {
