--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -24,7 +24,7 @@
 const (
 	outputQueueSize    = 4096 // tokens that may wait for a slow router before the job is cancelled
 	maxAdvanceInterval = 50 * time.Millisecond
-	busyAdvice         = 200 * time.Millisecond
+	busyRetryDelay     = 200 * time.Millisecond
 	kvTimeout          = time.Second
 	fetchTimeout       = 30 * time.Second
 	unlimitedLoad      = time.Hour // the weight store decides when a load ends
@@ -153,7 +153,7 @@
 
 // refusalOf returns the answer to a job that was not taken.
 func refusalOf(result engine.SubmitResult) (api.BackendRejection, bool) {
-	refusal := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyAdvice.Milliseconds()}
+	refusal := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyRetryDelay.Milliseconds()}
 	switch result {
 	case engine.RejectedDraining:
 		refusal.Draining = true
@@ -228,7 +228,7 @@
 // importFrom asks another engine or the vault how much of a chain it can give. It is called with the mutex
 // held, so it is bounded tightly.
 func (e *Engine) importFrom(source string, chain []prefix.Hash) int {
-	ctx, cancel := context.WithTimeout(context.Background(), busyAdvice)
+	ctx, cancel := context.WithTimeout(context.Background(), busyRetryDelay)
 	defer cancel()
 	var reply api.KVReply
 	if err := e.client.Post(ctx, source, api.PathKVMatch, api.KVRequest{Blocks: chain}, &reply); err != nil {
