--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -25,7 +25,7 @@
 	outputQueueSize    = 4096 // tokens that may wait for a slow router before the job is cancelled
 	maxAdvanceInterval = 50 * time.Millisecond
 	busyRetryDelay     = 200 * time.Millisecond
-	kvTimeout          = time.Second
+	vaultTimeout       = time.Second
 	fetchTimeout       = 30 * time.Second
 	unlimitedLoad      = time.Hour // the weight store decides when a load ends
 )
@@ -215,7 +215,7 @@
 	if request.VaultBlocks == 0 || request.Vault == "" {
 		return 0
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), kvTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), vaultTimeout)
 	defer cancel()
 	blocks := request.Blocks[:min(request.VaultBlocks, len(request.Blocks))]
 	var reply api.KVReply
