--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -27,7 +27,7 @@
 	busyRetryDelay     = 200 * time.Millisecond
 	vaultTimeout       = time.Second
 	fetchTimeout       = 30 * time.Second
-	unlimitedLoad      = time.Hour // the weight store decides when a load ends
+	maxLoadTime        = time.Hour // the weight store decides when a load ends
 )
 
 // EngineConfig is what an engine process needs to start.
@@ -289,7 +289,7 @@
 	}
 	e.mutex.Lock()
 	loadingBefore := e.model.Loading()
-	accepted := e.model.HandleCall(e.now(), call, unlimitedLoad)
+	accepted := e.model.HandleCall(e.now(), call, maxLoadTime)
 	begins := !loadingBefore && e.model.Loading()
 	fence := e.model.Fence()
 	e.mutex.Unlock()
