--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -54,8 +54,8 @@
 	model *engine.Model
 }
 
-// jobState joins a job of the model to the response that streams it.
-type jobState struct {
+// jobStream joins a job of the model to the response that streams it.
+type jobStream struct {
 	outputs chan engine.Output
 }
 
@@ -105,7 +105,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, output := range e.model.Advance(e.now()) {
-		state := output.Job.UserData.(*jobState)
+		state := output.Job.UserData.(*jobStream)
 		select {
 		case state.outputs <- output:
 		default:
@@ -131,7 +131,7 @@
 	if !readJSON(w, r, &request) {
 		return
 	}
-	state := &jobState{outputs: make(chan engine.Output, outputQueueSize)}
+	state := &jobStream{outputs: make(chan engine.Output, outputQueueSize)}
 	job := &engine.Job{
 		Attempt: request.Attempt, Origin: request.Router, Tenant: request.Tenant, Blocks: request.Blocks,
 		PromptTokens: request.PromptTokens, MaxTokens: request.MaxTokens, ResumeFrom: request.ResumeFrom,
@@ -169,7 +169,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(w)
 	digest := xxhash.Sum64String(request.Prompt)
-	outputs := job.UserData.(*jobState).outputs
+	outputs := job.UserData.(*jobStream).outputs
 	for {
 		select {
 		case <-r.Context().Done():
