--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -82,12 +82,12 @@
 	mux.HandleFunc("POST "+api.PathOrders, e.serveOrder)
 	mux.HandleFunc("POST "+api.PathKVMatch, e.serveMatch)
 	mux.HandleFunc("POST /v1/leave", e.serveLeave)
-	go e.advance(ctx)
+	go e.runModel(ctx)
 	return serve(ctx, e.config.Listen, mux, e.log)
 }
 
-// advance is the thread that runs the model in real time.
-func (e *Engine) advance(ctx context.Context) {
+// runModel is the thread that runs the model in real time.
+func (e *Engine) runModel(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
