--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -97,11 +97,11 @@
 		case <-e.wake:
 		case <-timer.C:
 		}
-		timer.Reset(e.step())
+		timer.Reset(e.advanceModel())
 	}
 }
 
-func (e *Engine) step() time.Duration {
+func (e *Engine) advanceModel() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, output := range e.model.Advance(e.now()) {
