--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -119,7 +119,7 @@
 	return max(0, min(due-e.now(), maxAdvanceInterval))
 }
 
-func (e *Engine) nudge() {
+func (e *Engine) wakeModel() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -147,7 +147,7 @@
 		writeJSON(w, http.StatusServiceUnavailable, refusal)
 		return
 	}
-	e.nudge()
+	e.wakeModel()
 	e.stream(w, r, request, job, result == engine.AcceptedWithoutReuse, incarnation)
 }
 
@@ -311,6 +311,6 @@
 		return
 	}
 	e.model.CompleteLoad(e.now())
-	e.nudge()
+	e.wakeModel()
 	e.log.Info("weights loaded", zap.String("weights", weights))
 }
