--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -142,7 +142,7 @@
 	result := e.model.Submit(e.now(), job)
 	incarnation := e.model.Incarnation
 	e.mutex.Unlock()
-	if refusal, refused := refusalOf(result); refused {
+	if refusal, refused := rejectionOf(result); refused {
 		refusal.Incarnation = incarnation
 		writeJSON(w, http.StatusServiceUnavailable, refusal)
 		return
@@ -151,8 +151,8 @@
 	e.stream(w, r, request, job, result == engine.AcceptedWithoutReuse, incarnation)
 }
 
-// refusalOf returns the answer to a job that was not taken.
-func refusalOf(result engine.SubmitResult) (api.BackendRejection, bool) {
+// rejectionOf returns the answer to a job that was not taken.
+func rejectionOf(result engine.SubmitResult) (api.BackendRejection, bool) {
 	refusal := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyRetryDelay.Milliseconds()}
 	switch result {
 	case engine.RejectedDraining:
