--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -153,15 +153,15 @@
 
 // rejectionOf returns the answer to a job that was not taken.
 func rejectionOf(result engine.SubmitResult) (api.BackendRejection, bool) {
-	refusal := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyRetryDelay.Milliseconds()}
+	rejection := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyRetryDelay.Milliseconds()}
 	switch result {
 	case engine.RejectedDraining:
-		refusal.Draining = true
-		return refusal, true
+		rejection.Draining = true
+		return rejection, true
 	case engine.RejectedQueueFull, engine.RejectedLoading:
-		return refusal, true
+		return rejection, true
 	}
-	return refusal, false
+	return rejection, false
 }
 
 // stream writes a job's outputs as server-sent events; a closed connection cancels the job.
