--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -142,9 +142,9 @@
 	result := e.model.Submit(e.now(), job)
 	incarnation := e.model.Incarnation
 	e.mutex.Unlock()
-	if refusal, refused := rejectionOf(result); refused {
-		refusal.Incarnation = incarnation
-		writeJSON(w, http.StatusServiceUnavailable, refusal)
+	if rejection, refused := rejectionOf(result); refused {
+		rejection.Incarnation = incarnation
+		writeJSON(w, http.StatusServiceUnavailable, rejection)
 		return
 	}
 	e.wakeModel()
