--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -142,7 +142,7 @@
 	result := e.model.Submit(e.now(), job)
 	incarnation := e.model.Incarnation
 	e.mutex.Unlock()
-	if rejection, refused := rejectionOf(result); refused {
+	if rejection, rejected := rejectionOf(result); rejected {
 		rejection.Incarnation = incarnation
 		writeJSON(w, http.StatusServiceUnavailable, rejection)
 		return
