--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -105,9 +105,9 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, output := range e.model.Advance(e.now()) {
-		state := output.Job.UserData.(*jobStream)
+		stream := output.Job.UserData.(*jobStream)
 		select {
-		case state.outputs <- output:
+		case stream.outputs <- output:
 		default:
 			e.model.Cancel(output.Job.Origin, output.Job.Attempt)
 		}
