--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -112,8 +112,8 @@
 			e.model.Cancel(output.Job.Origin, output.Job.Attempt)
 		}
 	}
-	due, any := e.model.NextWakeup()
-	if !any {
+	due, scheduled := e.model.NextWakeup()
+	if !scheduled {
 		return maxAdvanceInterval
 	}
 	return max(0, min(due-e.now(), maxAdvanceInterval))
