--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -178,7 +178,7 @@
 			e.mutex.Unlock()
 			return
 		case output := <-outputs:
-			event := e.eventOf(output, request, digest)
+			event := e.toEvent(output, request, digest)
 			if output.Kind == engine.OutputStarted {
 				event.Incarnation, event.NoReuse = incarnation, noReuse
 			}
@@ -196,7 +196,7 @@
 	}
 }
 
-func (e *Engine) eventOf(output engine.Output, request api.GenerateRequest, digest uint64) api.GenerateEvent {
+func (e *Engine) toEvent(output engine.Output, request api.GenerateRequest, digest uint64) api.GenerateEvent {
 	event := api.GenerateEvent{Attempt: request.Attempt, Index: output.Index}
 	switch output.Kind {
 	case engine.OutputStarted:
