--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -205,13 +205,13 @@
 		event.Kind, event.Text = api.GenerateToken, TokenText(digest, request.Seed, output.Index)
 	case engine.OutputDone:
 		event.Kind = api.GenerateDone
-		event.StoredBlocks = e.keep(request)
+		event.StoredBlocks = e.storeInVault(request)
 	}
 	return event
 }
 
-// keep stores the asked-for prefix in the vault.
-func (e *Engine) keep(request api.GenerateRequest) int {
+// storeInVault stores the asked-for prefix in the vault.
+func (e *Engine) storeInVault(request api.GenerateRequest) int {
 	if request.VaultBlocks == 0 || request.Vault == "" {
 		return 0
 	}
