--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -67,7 +67,7 @@
 		client: transport.NewClient("", nil),
 		model:  engine.New(config.Name, incarnation, config.Weights, config.Rates, config.BlockTokens, incarnation, guard.Set{}),
 	}
-	e.model.Import = e.importFrom
+	e.model.Import = e.importablePrefix
 	return e
 }
 
@@ -225,9 +225,9 @@
 	return reply.CachedBlocks
 }
 
-// importFrom asks another engine or the vault how much of a chain it can give. It is called with the mutex
+// importablePrefix asks another engine or the vault how much of a chain it can give. It is called with the mutex
 // held, so it is bounded tightly.
-func (e *Engine) importFrom(source string, chain []prefix.Hash) int {
+func (e *Engine) importablePrefix(source string, chain []prefix.Hash) int {
 	ctx, cancel := context.WithTimeout(context.Background(), busyRetryDelay)
 	defer cancel()
 	var reply api.KVReply
