--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -269,9 +269,9 @@
 		writeJSON(w, http.StatusOK, api.KVReply{})
 		return
 	}
-	held := e.model.ExportablePrefix(e.now(), request.Blocks)
+	cached := e.model.ExportablePrefix(e.now(), request.Blocks)
 	e.mutex.Unlock()
-	writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: held})
+	writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: cached})
 }
 
 func (e *Engine) serveLeave(w http.ResponseWriter, _ *http.Request) {
