--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -81,7 +81,7 @@
 	mux.HandleFunc("GET "+api.PathCache, e.serveCache)
 	mux.HandleFunc("POST "+api.PathOrders, e.serveOrder)
 	mux.HandleFunc("POST "+api.PathKVMatch, e.serveMatch)
-	mux.HandleFunc("POST /v1/leave", e.serveLeave)
+	mux.HandleFunc("POST /v1/leave", e.serveDrain)
 	go e.runModel(ctx)
 	return serve(ctx, e.config.Listen, mux, e.log)
 }
@@ -274,7 +274,7 @@
 	writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: cached})
 }
 
-func (e *Engine) serveLeave(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveDrain(w http.ResponseWriter, _ *http.Request) {
 	e.mutex.Lock()
 	e.model.SetDraining(true)
 	e.mutex.Unlock()
