--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -288,9 +288,9 @@
 		return
 	}
 	e.mutex.Lock()
-	loadingBefore := e.model.Loading()
+	wasLoading := e.model.Loading()
 	accepted := e.model.HandleCall(e.now(), call, maxLoadTime)
-	begins := !loadingBefore && e.model.Loading()
+	begins := !wasLoading && e.model.Loading()
 	fence := e.model.Fence()
 	e.mutex.Unlock()
 	if begins {
