--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -290,10 +290,10 @@
 	e.mutex.Lock()
 	wasLoading := e.model.Loading()
 	accepted := e.model.HandleCall(e.now(), call, maxLoadTime)
-	begins := !wasLoading && e.model.Loading()
+	loadStarted := !wasLoading && e.model.Loading()
 	fence := e.model.Fence()
 	e.mutex.Unlock()
-	if begins {
+	if loadStarted {
 		go e.load(call.Order.Weights)
 	}
 	writeJSON(w, http.StatusOK, api.OrderReply{Accepted: accepted, Fence: fence})
