--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -294,12 +294,12 @@
 	fence := e.model.Fence()
 	e.mutex.Unlock()
 	if loadStarted {
-		go e.load(call.Order.Weights)
+		go e.loadWeights(call.Order.Weights)
 	}
 	writeJSON(w, http.StatusOK, api.OrderReply{Accepted: accepted, Fence: fence})
 }
 
-func (e *Engine) load(weights string) {
+func (e *Engine) loadWeights(weights string) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	err := e.client.Post(ctx, e.config.WeightStore, api.PathFetch, api.FetchRequest{Engine: e.config.Name, Weights: weights}, nil)
