--- a/internal/lab/standin/serve.go
+++ b/internal/lab/standin/serve.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	headerTimeout = 10 * time.Second
-	closeTimeout  = time.Second
+	headerTimeout   = 10 * time.Second
+	shutdownTimeout = time.Second
 )
 
 // serve runs an HTTP server until ctx ends.
@@ -30,7 +30,7 @@
 		return eris.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	closing, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	closing, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(closing); err != nil {
 		return eris.Wrap(server.Close(), "close")
