--- a/internal/lab/standin/serve.go
+++ b/internal/lab/standin/serve.go
@@ -22,11 +22,11 @@
 		return eris.Wrapf(err, "listen on %s", address)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
-	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
 	log.Info("stand-in started", zap.String("listen", address))
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return eris.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
