--- a/internal/lab/standin/serve.go
+++ b/internal/lab/standin/serve.go
@@ -30,9 +30,9 @@
 		return eris.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	closing, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := server.Shutdown(closing); err != nil {
+	if err := server.Shutdown(shutdownCtx); err != nil {
 		return eris.Wrap(server.Close(), "close")
 	}
 	return nil
