--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -17,13 +17,13 @@
 
 // ServiceConfig is what a small service process needs to start.
 type ServiceConfig struct {
-	Name        string
-	Zone        string
-	Service     string
-	Listen      string
-	ServiceTime time.Duration
-	DropAfter   float64 // share of requests that run and then lose their connection
-	DropBefore  float64 // share of requests that are read and dropped without running
+	Name           string
+	Zone           string
+	Service        string
+	Listen         string
+	ServiceTime    time.Duration
+	DropAfterRatio float64 // share of requests that run and then lose their connection
+	DropBefore     float64 // share of requests that are read and dropped without running
 }
 
 // Service is a small back end whose requests may not be repeated. It remembers every run.
@@ -67,7 +67,7 @@
 	}
 	time.Sleep(s.config.ServiceTime)
 	s.end()
-	if rand.Float64() < s.config.DropAfter {
+	if rand.Float64() < s.config.DropAfterRatio {
 		panic(http.ErrAbortHandler) // it ran, but the answer is lost
 	}
 	answer := ledger.Response{Status: http.StatusOK, ContentType: "application/json", Body: ServiceResponse(request.Body)}
