--- a/cmd/kitelab/standins.go
+++ b/cmd/kitelab/standins.go
@@ -93,7 +93,7 @@
 		return flags.serve("backend", func(d *plan.Deployment, log *zap.Logger) (runner, error) {
 			return standin.NewService(standin.ServiceConfig{
 				Name: flags.name, Zone: flags.zone, Service: d.Small.Name, Listen: flags.listen,
-				ServiceTime: d.Small.Time, DropAfterRatio: dropAfter, DropBefore: dropBefore,
+				ServiceTime: d.Small.Time, DropAfterRatio: dropAfter, DropBeforeRatio: dropBefore,
 			}, log), nil
 		})
 	}}
--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -17,13 +17,13 @@
 
 // ServiceConfig is what a small service process needs to start.
 type ServiceConfig struct {
-	Name           string
-	Zone           string
-	Service        string
-	Listen         string
-	ServiceTime    time.Duration
-	DropAfterRatio float64 // share of requests that run and then lose their connection
-	DropBefore     float64 // share of requests that are read and dropped without running
+	Name            string
+	Zone            string
+	Service         string
+	Listen          string
+	ServiceTime     time.Duration
+	DropAfterRatio  float64 // share of requests that run and then lose their connection
+	DropBeforeRatio float64 // share of requests that are read and dropped without running
 }
 
 // Service is a small back end whose requests may not be repeated. It remembers every run.
@@ -58,7 +58,7 @@
 	if !readJSON(w, r, &request) {
 		return
 	}
-	if rand.Float64() < s.config.DropBefore {
+	if rand.Float64() < s.config.DropBeforeRatio {
 		panic(http.ErrAbortHandler) // the connection dies after the request was read
 	}
 	if !s.begin(request) {
