--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -32,10 +32,10 @@
 	log         *zap.Logger
 	incarnation uint64
 
-	mutex   sync.Mutex
-	runs    []api.RunRecord
-	running int
-	leaving bool
+	mutex    sync.Mutex
+	runs     []api.RunRecord
+	running  int
+	draining bool
 }
 
 // NewService returns a service that has run nothing yet.
@@ -78,7 +78,7 @@
 func (s *Service) begin(request api.RunRequest) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.leaving {
+	if s.draining {
 		return false
 	}
 	s.running++
@@ -104,14 +104,14 @@
 
 func (s *Service) serveLeave(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
-	s.leaving = true
+	s.draining = true
 	s.mutex.Unlock()
 	w.WriteHeader(http.StatusOK)
 }
 
 func (s *Service) serveState(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
-	report := core.BackendReport{Incarnation: s.incarnation, Leaving: s.leaving, Load: core.Load{Running: s.running}}
+	report := core.BackendReport{Incarnation: s.incarnation, Leaving: s.draining, Load: core.Load{Running: s.running}}
 	s.mutex.Unlock()
 	writeJSON(w, http.StatusOK, api.StateReply{Report: report, Engine: control.EngineReport{
 		Name: s.config.Name, Zone: s.config.Zone, Service: s.config.Service, Address: s.config.Listen, Incarnation: s.incarnation,
