--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -61,7 +61,7 @@
 	if rand.Float64() < s.config.DropBeforeRatio {
 		panic(http.ErrAbortHandler) // the connection dies after the request was read
 	}
-	if !s.begin(request) {
+	if !s.beginRun(request) {
 		writeJSON(w, http.StatusServiceUnavailable, api.BackendRejection{Run: core.RunNot, Draining: true})
 		return
 	}
@@ -74,8 +74,8 @@
 	writeJSON(w, http.StatusOK, api.RunResponse{Attempt: request.Attempt, Response: answer})
 }
 
-// begin records a run, unless the service is leaving.
-func (s *Service) begin(request api.RunRequest) bool {
+// beginRun records a run, unless the service is leaving.
+func (s *Service) beginRun(request api.RunRequest) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.draining {
