--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -66,7 +66,7 @@
 		return
 	}
 	time.Sleep(s.config.ServiceTime)
-	s.end()
+	s.endRun()
 	if rand.Float64() < s.config.DropAfterRatio {
 		panic(http.ErrAbortHandler) // it ran, but the answer is lost
 	}
@@ -89,7 +89,7 @@
 	return true
 }
 
-func (s *Service) end() {
+func (s *Service) endRun() {
 	s.mutex.Lock()
 	s.running--
 	s.mutex.Unlock()
