--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -70,8 +70,8 @@
 	if rand.Float64() < s.config.DropAfterRatio {
 		panic(http.ErrAbortHandler) // it ran, but the answer is lost
 	}
-	answer := ledger.Response{Status: http.StatusOK, ContentType: "application/json", Body: ServiceResponse(request.Body)}
-	writeJSON(w, http.StatusOK, api.RunResponse{Attempt: request.Attempt, Response: answer})
+	response := ledger.Response{Status: http.StatusOK, ContentType: "application/json", Body: ServiceResponse(request.Body)}
+	writeJSON(w, http.StatusOK, api.RunResponse{Attempt: request.Attempt, Response: response})
 }
 
 // beginRun records a run, unless the service is leaving.
