--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -49,7 +49,7 @@
 	mux.HandleFunc("POST "+api.PathRun, s.serveRun)
 	mux.HandleFunc("GET "+api.PathState, s.serveState)
 	mux.HandleFunc("GET "+api.PathRuns, s.serveRuns)
-	mux.HandleFunc("POST /v1/leave", s.serveLeave)
+	mux.HandleFunc("POST /v1/leave", s.serveDrain)
 	return serve(ctx, s.config.Listen, mux, s.log)
 }
 
@@ -102,7 +102,7 @@
 	writeJSON(w, http.StatusOK, runs)
 }
 
-func (s *Service) serveLeave(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) serveDrain(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
 	s.draining = true
 	s.mutex.Unlock()
