--- a/cmd/kitelab/standins.go
+++ b/cmd/kitelab/standins.go
@@ -105,7 +105,7 @@
 	flags.attach(sub)
 	return command{sub, func() error {
 		return flags.serve("vault", func(d *plan.Deployment, log *zap.Logger) (runner, error) {
-			return standin.NewVault(standin.VaultConfig{Listen: flags.listen, Blocks: d.Vault.Blocks}, log), nil
+			return standin.NewVault(standin.VaultConfig{Listen: flags.listen, MaxBlocks: d.Vault.Blocks}, log), nil
 		})
 	}}
 }
--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -17,8 +17,8 @@
 
 // VaultConfig is what a KV store process needs to start.
 type VaultConfig struct {
-	Listen string
-	Blocks int // blocks kept; the least recently used go first
+	Listen    string
+	MaxBlocks int // blocks kept; the least recently used go first
 }
 
 // Vault is a store of kept KV cache.
@@ -77,7 +77,7 @@
 			v.places[hash] = v.order.PushBack(hash)
 		}
 	}
-	for v.order.Len() > v.config.Blocks {
+	for v.order.Len() > v.config.MaxBlocks {
 		oldest := v.order.Front()
 		delete(v.places, oldest.Value.(prefix.Hash))
 		v.order.Remove(oldest)
