--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -23,16 +23,16 @@
 
 // Vault is a store of kept KV cache.
 type Vault struct {
-	config VaultConfig
-	log    *zap.Logger
-	mutex  sync.Mutex
-	places map[prefix.Hash]*list.Element
-	order  *list.List // front is the oldest; values are prefix.Hash
+	config   VaultConfig
+	log      *zap.Logger
+	mutex    sync.Mutex
+	elements map[prefix.Hash]*list.Element
+	order    *list.List // front is the oldest; values are prefix.Hash
 }
 
 // NewVault returns an empty store.
 func NewVault(config VaultConfig, log *zap.Logger) *Vault {
-	return &Vault{config: config, log: log, places: map[prefix.Hash]*list.Element{}, order: list.New()}
+	return &Vault{config: config, log: log, elements: map[prefix.Hash]*list.Element{}, order: list.New()}
 }
 
 // Run serves until ctx ends.
@@ -59,11 +59,11 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	matched := 0
-	for matched < len(chain) && v.places[chain[matched]] != nil {
+	for matched < len(chain) && v.elements[chain[matched]] != nil {
 		matched++
 	}
 	for i := matched - 1; i >= 0; i-- {
-		v.order.MoveToBack(v.places[chain[i]])
+		v.order.MoveToBack(v.elements[chain[i]])
 	}
 	return matched
 }
@@ -73,13 +73,13 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	for _, hash := range chain {
-		if v.places[hash] == nil {
-			v.places[hash] = v.order.PushBack(hash)
+		if v.elements[hash] == nil {
+			v.elements[hash] = v.order.PushBack(hash)
 		}
 	}
 	for v.order.Len() > v.config.MaxBlocks {
 		oldest := v.order.Front()
-		delete(v.places, oldest.Value.(prefix.Hash))
+		delete(v.elements, oldest.Value.(prefix.Hash))
 		v.order.Remove(oldest)
 	}
 }
