--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -47,7 +47,7 @@
 	mux.HandleFunc("POST "+api.PathKVKeep, func(w http.ResponseWriter, r *http.Request) {
 		var request api.KVRequest
 		if readJSON(w, r, &request) {
-			v.Keep(request.Blocks)
+			v.Store(request.Blocks)
 			writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: v.Match(request.Blocks)})
 		}
 	})
@@ -68,8 +68,8 @@
 	return matched
 }
 
-// Keep stores the blocks of a chain.
-func (v *Vault) Keep(chain []prefix.Hash) {
+// Store stores the blocks of a chain.
+func (v *Vault) Store(chain []prefix.Hash) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	for _, hash := range chain {
