--- a/cmd/kitelab/standins.go
+++ b/cmd/kitelab/standins.go
@@ -117,7 +117,7 @@
 	return command{sub, func() error {
 		return flags.serve("weights", func(d *plan.Deployment, log *zap.Logger) (runner, error) {
 			return standin.NewWeights(standin.WeightsConfig{
-				Listen: flags.listen, LoadTime: d.Weights.LoadTime, Concurrent: d.Weights.Concurrent,
+				Listen: flags.listen, LoadTime: d.Weights.LoadTime, FullSpeedLimit: d.Weights.Concurrent,
 			}, log), nil
 		})
 	}}
--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -86,9 +86,9 @@
 
 // WeightsConfig is what a weight store process needs to start.
 type WeightsConfig struct {
-	Listen     string
-	LoadTime   time.Duration // of one engine alone
-	Concurrent int           // engines served at full speed
+	Listen         string
+	LoadTime       time.Duration // of one engine alone
+	FullSpeedLimit int           // engines served at full speed
 }
 
 // Weights is the rate-limited weight store.
@@ -118,7 +118,7 @@
 	}
 	s.mutex.Lock()
 	s.active++
-	length := engine.ContendedLoadTime(s.config.LoadTime, s.active, s.config.Concurrent)
+	length := engine.ContendedLoadTime(s.config.LoadTime, s.active, s.config.FullSpeedLimit)
 	s.mutex.Unlock()
 	time.Sleep(length)
 	s.mutex.Lock()
