--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -99,8 +99,8 @@
 	active int
 }
 
-// NewWeights returns a store.
-func NewWeights(config WeightsConfig, log *zap.Logger) *Weights {
+// NewWeightStore returns a store.
+func NewWeightStore(config WeightsConfig, log *zap.Logger) *Weights {
 	return &Weights{config: config, log: log}
 }
 
