--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -91,8 +91,8 @@
 	FullSpeedLimit int           // engines served at full speed
 }
 
-// Weights is the rate-limited weight store.
-type Weights struct {
+// WeightStore is the rate-limited weight store.
+type WeightStore struct {
 	config WeightsConfig
 	log    *zap.Logger
 	mutex  sync.Mutex
@@ -100,18 +100,18 @@
 }
 
 // NewWeightStore returns a store.
-func NewWeightStore(config WeightsConfig, log *zap.Logger) *Weights {
-	return &Weights{config: config, log: log}
+func NewWeightStore(config WeightsConfig, log *zap.Logger) *WeightStore {
+	return &WeightStore{config: config, log: log}
 }
 
 // Run serves until ctx ends.
-func (s *Weights) Run(ctx context.Context) error {
+func (s *WeightStore) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+api.PathFetch, s.serveFetch)
 	return serve(ctx, s.config.Listen, mux, s.log)
 }
 
-func (s *Weights) serveFetch(w http.ResponseWriter, r *http.Request) {
+func (s *WeightStore) serveFetch(w http.ResponseWriter, r *http.Request) {
 	var request api.FetchRequest
 	if !readJSON(w, r, &request) {
 		return
