--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -93,10 +93,10 @@
 
 // WeightStore is the rate-limited weight store.
 type WeightStore struct {
-	config WeightsConfig
-	log    *zap.Logger
-	mutex  sync.Mutex
-	active int
+	config      WeightsConfig
+	log         *zap.Logger
+	mutex       sync.Mutex
+	activeLoads int
 }
 
 // NewWeightStore returns a store.
@@ -117,12 +117,12 @@
 		return
 	}
 	s.mutex.Lock()
-	s.active++
-	length := engine.ContendedLoadTime(s.config.LoadTime, s.active, s.config.FullSpeedLimit)
+	s.activeLoads++
+	length := engine.ContendedLoadTime(s.config.LoadTime, s.activeLoads, s.config.FullSpeedLimit)
 	s.mutex.Unlock()
 	time.Sleep(length)
 	s.mutex.Lock()
-	s.active--
+	s.activeLoads--
 	s.mutex.Unlock()
 	w.WriteHeader(http.StatusOK)
 }
