--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -118,9 +118,9 @@
 	}
 	s.mutex.Lock()
 	s.activeLoads++
-	length := engine.ContendedLoadTime(s.config.LoadTime, s.activeLoads, s.config.FullSpeedLimit)
+	duration := engine.ContendedLoadTime(s.config.LoadTime, s.activeLoads, s.config.FullSpeedLimit)
 	s.mutex.Unlock()
-	time.Sleep(length)
+	time.Sleep(duration)
 	s.mutex.Lock()
 	s.activeLoads--
 	s.mutex.Unlock()
