--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -139,18 +139,18 @@
 	config  PlatformConfig
 	log     *zap.Logger
 	mutex   sync.Mutex
-	history []listing
+	history []snapshot
 }
 
-// listing is the list as of a time.
-type listing struct {
+// snapshot is the list as of a time.
+type snapshot struct {
 	at       time.Time
 	machines []core.Machine
 }
 
 // NewPlatform returns a list that shows its first content without lag.
 func NewPlatform(config PlatformConfig, log *zap.Logger) *Platform {
-	return &Platform{config: config, log: log, history: []listing{{machines: config.Machines}}}
+	return &Platform{config: config, log: log, history: []snapshot{{machines: config.Machines}}}
 }
 
 // Run serves until ctx ends.
@@ -190,6 +190,6 @@
 		}
 		next = append(next, machine)
 	}
-	p.history = append(p.history, listing{at: time.Now(), machines: next})
+	p.history = append(p.history, snapshot{at: time.Now(), machines: next})
 	w.WriteHeader(http.StatusOK)
 }
