--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -157,14 +157,14 @@
 func (p *Platform) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathMachines, func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, http.StatusOK, api.MachinesReply{Machines: p.shown(time.Now())})
+		writeJSON(w, http.StatusOK, api.MachinesReply{Machines: p.laggedMachines(time.Now())})
 	})
 	mux.HandleFunc("POST "+api.PathMachines, p.serveEdit)
 	return serve(ctx, p.config.Listen, mux, p.log)
 }
 
-// shown returns the newest list that is older than the lag.
-func (p *Platform) shown(now time.Time) []core.Machine {
+// laggedMachines returns the newest list that is older than the lag.
+func (p *Platform) laggedMachines(now time.Time) []core.Machine {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for len(p.history) > 1 && now.Sub(p.history[1].at) >= p.config.Lag {
