--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -159,7 +159,7 @@
 	mux.HandleFunc("GET "+api.PathMachines, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, api.MachinesReply{Machines: p.laggedMachines(time.Now())})
 	})
-	mux.HandleFunc("POST "+api.PathMachines, p.serveEdit)
+	mux.HandleFunc("POST "+api.PathMachines, p.serveMachineEdit)
 	return serve(ctx, p.config.Listen, mux, p.log)
 }
 
@@ -173,7 +173,7 @@
 	return p.history[0].machines
 }
 
-func (p *Platform) serveEdit(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) serveMachineEdit(w http.ResponseWriter, r *http.Request) {
 	var edit api.MachineEdit
 	if !readJSON(w, r, &edit) {
 		return
