--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -180,7 +180,7 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	var next []core.Machine
+	var machines []core.Machine
 	for _, machine := range p.history[len(p.history)-1].machines {
 		if machine.Name == edit.Name {
 			if edit.Removed {
@@ -188,8 +188,8 @@
 			}
 			machine.Leaving = edit.Leaving
 		}
-		next = append(next, machine)
+		machines = append(machines, machine)
 	}
-	p.history = append(p.history, snapshot{at: time.Now(), machines: next})
+	p.history = append(p.history, snapshot{at: time.Now(), machines: machines})
 	w.WriteHeader(http.StatusOK)
 }
