--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -22,7 +22,7 @@
 	"kitetiller/internal/lab/traffic"
 )
 
-const maximumLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // completion sends one prompt, streamed or not, and checks the answer.
 func (r *runner) completion(ctx context.Context, number int, prompt traffic.Prompt, random *rand.Rand) {
@@ -128,7 +128,7 @@
 // checkStream reads server-sent events and checks each token.
 func (r *runner) checkStream(body io.Reader, expect expectation, started time.Time) {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(make([]byte, 0, 4096), maximumLine)
+	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	next, failed := 0, false
 	position := 0
 	for scanner.Scan() {
