--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -36,7 +36,7 @@
 		body.Messages, body.Prompt = []api.ChatMessage{{Role: "user", Content: prompt.Text}}, ""
 	}
 	expect := expectation{digest: xxhash.Sum64String(body.Text()), seed: body.Seed, tokens: body.MaxTokens}
-	bounded, cancel := context.WithCancel(ctx)
+	requestCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if r.options.HangUps && body.Stream && random.Float64() < hangUpShare {
 		expect.hangUpAfter = 1 + random.IntN(5)
@@ -47,7 +47,7 @@
 	if prompt.Short {
 		headers[api.HeaderPriority] = "interactive"
 	}
-	response, err := r.send(bounded, r.router(random), path, r.key(random), headers, mustJSON(body))
+	response, err := r.send(requestCtx, r.router(random), path, r.key(random), headers, mustJSON(body))
 	if err != nil {
 		r.count(func(result *Result) { result.Broken++ })
 		return
