--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -39,7 +39,7 @@
 	requestCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if r.options.HangUps && body.Stream && random.Float64() < hangUpShare {
-		expect.hangUpAfter = 1 + random.IntN(5)
+		expect.disconnectAfter = 1 + random.IntN(5)
 	}
 	r.count(func(result *Result) { result.Requests++ })
 	started := time.Now()
@@ -65,10 +65,10 @@
 
 // expectation is what the answer to a prompt must be.
 type expectation struct {
-	digest      uint64
-	seed        uint64
-	tokens      int
-	hangUpAfter int // tokens; 0 never
+	digest          uint64
+	seed            uint64
+	tokens          int
+	disconnectAfter int // tokens; 0 never
 }
 
 func (e expectation) text(index int) string { return standin.TokenText(e.digest, e.seed, index) }
@@ -151,7 +151,7 @@
 				r.sawFirst(started)
 			}
 			next = r.checkChunk(data, position, next, expect)
-			if expect.hangUpAfter > 0 && next >= expect.hangUpAfter {
+			if expect.disconnectAfter > 0 && next >= expect.disconnectAfter {
 				r.count(func(result *Result) { result.HungUp++ })
 				return
 			}
