--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -55,7 +55,7 @@
 	defer response.Body.Close()
 	switch {
 	case response.StatusCode != http.StatusOK:
-		r.refusal(response)
+		r.recordRejection(response)
 	case body.Stream:
 		r.checkStream(response.Body, expect, started)
 	default:
@@ -114,8 +114,8 @@
 	return r.client.Do(request)
 }
 
-// refusal counts an error answer.
-func (r *runner) refusal(response *http.Response) api.Problem {
+// recordRejection counts an error answer.
+func (r *runner) recordRejection(response *http.Response) api.Problem {
 	var problem api.Problem
 	_ = json.NewDecoder(response.Body).Decode(&problem) // an unreadable one counts as a refusal without reason
 	r.count(func(result *Result) {
