--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -148,7 +148,7 @@
 			return
 		default:
 			if next == 0 {
-				r.sawFirst(started)
+				r.recordFirstToken(started)
 			}
 			next = r.checkChunk(data, position, next, expect)
 			if expect.disconnectAfter > 0 && next >= expect.disconnectAfter {
@@ -166,7 +166,7 @@
 	})
 }
 
-func (r *runner) sawFirst(started time.Time) {
+func (r *runner) recordFirstToken(started time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	_ = r.first.RecordValue(time.Since(started).Microseconds()) // beyond the range only after the timeout
