--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -141,7 +141,7 @@
 		switch {
 		case !found:
 		case data == api.StreamEnd:
-			r.streamEnded(next, expect)
+			r.recordStreamEnd(next, expect)
 			return
 		case failed:
 			r.count(func(result *Result) { result.Errors++ })
@@ -200,7 +200,7 @@
 	return max(next, position+1)
 }
 
-func (r *runner) streamEnded(tokens int, expect expectation) {
+func (r *runner) recordStreamEnd(tokens int, expect expectation) {
 	r.count(func(result *Result) {
 		if tokens != expect.tokens {
 			result.Lost++
