--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -59,7 +59,7 @@
 	case body.Stream:
 		r.checkStream(response.Body, expect, started)
 	default:
-		r.checkWhole(response.Body, expect, started)
+		r.checkUnstreamed(response.Body, expect, started)
 	}
 }
 
@@ -210,8 +210,8 @@
 	})
 }
 
-// checkWhole compares a whole answer.
-func (r *runner) checkWhole(body io.Reader, expect expectation, started time.Time) {
+// checkUnstreamed compares a whole answer.
+func (r *runner) checkUnstreamed(body io.Reader, expect expectation, started time.Time) {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		r.count(func(result *Result) { result.Broken++ })
