--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -84,8 +84,8 @@
 // send posts a body to a router. A router that takes no connections, or says that it is stopping, is passed over for
 // another one, as callers with a list of routers do.
 func (r *runner) send(ctx context.Context, router, path, key string, headers map[string]string, body []byte) (*http.Response, error) {
-	for _, other := range append([]string{router}, r.options.Routers...) {
-		response, err := r.sendTo(ctx, other, path, key, headers, body)
+	for _, address := range append([]string{router}, r.options.Routers...) {
+		response, err := r.sendTo(ctx, address, path, key, headers, body)
 		if err != nil && !errors.Is(err, syscall.ECONNREFUSED) {
 			return nil, err
 		}
