--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -218,9 +218,9 @@
 		return
 	}
 	var answer api.CompletionResponse
-	var wanted strings.Builder
+	var want strings.Builder
 	for i := range expect.tokens {
-		wanted.WriteString(expect.text(i))
+		want.WriteString(expect.text(i))
 	}
 	right := json.Unmarshal(data, &answer) == nil && len(answer.Choices) == 1
 	if right {
@@ -228,7 +228,7 @@
 		if answer.Choices[0].Message != nil {
 			text = answer.Choices[0].Message.Content
 		}
-		right = text == wanted.String()
+		right = text == want.String()
 	}
 	_ = started // whole answers have no first token of their own
 	r.count(func(result *Result) {
