--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -222,17 +222,17 @@
 	for i := range expect.tokens {
 		want.WriteString(expect.text(i))
 	}
-	right := json.Unmarshal(data, &answer) == nil && len(answer.Choices) == 1
-	if right {
+	correct := json.Unmarshal(data, &answer) == nil && len(answer.Choices) == 1
+	if correct {
 		text := answer.Choices[0].Text
 		if answer.Choices[0].Message != nil {
 			text = answer.Choices[0].Message.Content
 		}
-		right = text == want.String()
+		correct = text == want.String()
 	}
 	_ = started // whole answers have no first token of their own
 	r.count(func(result *Result) {
-		if right {
+		if correct {
 			result.Complete++
 		} else {
 			result.WrongAnswer++
