--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -217,16 +217,16 @@
 		r.count(func(result *Result) { result.Broken++ })
 		return
 	}
-	var answer api.CompletionResponse
+	var response api.CompletionResponse
 	var want strings.Builder
 	for i := range expect.tokens {
 		want.WriteString(expect.text(i))
 	}
-	correct := json.Unmarshal(data, &answer) == nil && len(answer.Choices) == 1
+	correct := json.Unmarshal(data, &response) == nil && len(response.Choices) == 1
 	if correct {
-		text := answer.Choices[0].Text
-		if answer.Choices[0].Message != nil {
-			text = answer.Choices[0].Message.Content
+		text := response.Choices[0].Text
+		if response.Choices[0].Message != nil {
+			text = response.Choices[0].Message.Content
 		}
 		correct = text == want.String()
 	}
