--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -71,7 +71,7 @@
 	disconnectAfter int // tokens; 0 never
 }
 
-func (e expectation) text(index int) string { return standin.TokenText(e.digest, e.seed, index) }
+func (e expectation) tokenText(index int) string { return standin.TokenText(e.digest, e.seed, index) }
 
 func mustJSON(value any) []byte {
 	data, err := json.Marshal(value)
@@ -193,7 +193,7 @@
 			result.Duplicated++
 		case position > next:
 			result.OutOfOrder++
-		case text != expect.text(position):
+		case text != expect.tokenText(position):
 			result.WrongAnswer++
 		}
 	})
@@ -220,7 +220,7 @@
 	var response api.CompletionResponse
 	var want strings.Builder
 	for i := range expect.tokens {
-		want.WriteString(expect.text(i))
+		want.WriteString(expect.tokenText(i))
 	}
 	correct := json.Unmarshal(data, &response) == nil && len(response.Choices) == 1
 	if correct {
