--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -20,7 +20,7 @@
 
 const (
 	requestTimeout    = 60 * time.Second
-	histogramHighest  = int64(60 * time.Second / time.Microsecond)
+	histogramMax      = int64(60 * time.Second / time.Microsecond)
 	histogramDigits   = 3
 	progressPeriod    = 2 * time.Second
 	maximumInFlight   = 2500
@@ -102,8 +102,8 @@
 	r := &runner{
 		options: options,
 		client:  &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 512}},
-		first:   hdrhistogram.New(1, histogramHighest, histogramDigits),
-		service: hdrhistogram.New(1, histogramHighest, histogramDigits),
+		first:   hdrhistogram.New(1, histogramMax, histogramDigits),
+		service: hdrhistogram.New(1, histogramMax, histogramDigits),
 		notRun:  map[string]bool{}, sent: map[string]bool{},
 		result: Result{Reasons: map[string]int{}},
 	}
