--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -22,7 +22,7 @@
 	requestTimeout    = 60 * time.Second
 	histogramMax      = int64(60 * time.Second / time.Microsecond)
 	histogramDigits   = 3
-	progressPeriod    = 2 * time.Second
+	progressInterval  = 2 * time.Second
 	maximumInFlight   = 2500
 	serviceShare      = 0.2  // of requests that go to the small service
 	resendShare       = 0.3  // of small service requests that are sent twice at once
@@ -135,7 +135,7 @@
 			break
 		}
 		time.Sleep(time.Until(start.Add(prompt.At)))
-		if time.Since(reported) > progressPeriod {
+		if time.Since(reported) > progressInterval {
 			reported = time.Now()
 			r.progress(time.Since(start))
 		}
