--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -23,7 +23,7 @@
 	histogramMax      = int64(60 * time.Second / time.Microsecond)
 	histogramDigits   = 3
 	progressInterval  = 2 * time.Second
-	maximumInFlight   = 2500
+	maxInFlight       = 2500
 	serviceShare      = 0.2  // of requests that go to the small service
 	resendShare       = 0.3  // of small service requests that are sent twice at once
 	hangUpShare       = 0.02 // of streams whose caller hangs up
@@ -125,7 +125,7 @@
 	random := rand.New(rand.NewPCG(r.options.Seed, 3))
 	scale := r.options.Rate / r.options.Deployment.Traffic.RequestsPerSecond
 	prompts := traffic.New(r.options.Deployment, r.options.Seed, scale)
-	slots := make(chan struct{}, maximumInFlight)
+	slots := make(chan struct{}, maxInFlight)
 	start := time.Now()
 	reported := start
 	var requests sync.WaitGroup
