--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -24,7 +24,7 @@
 	histogramDigits   = 3
 	progressInterval  = 2 * time.Second
 	maxInFlight       = 2500
-	serviceShare      = 0.2  // of requests that go to the small service
+	serviceRatio      = 0.2  // of requests that go to the small service
 	resendShare       = 0.3  // of small service requests that are sent twice at once
 	hangUpShare       = 0.02 // of streams whose caller hangs up
 	streamShare       = 0.7  // of completions that are streamed
@@ -161,7 +161,7 @@
 }
 
 func (r *runner) one(ctx context.Context, number int, prompt traffic.Prompt, random *rand.Rand) {
-	if !r.options.WithoutService && random.Float64() < serviceShare {
+	if !r.options.WithoutService && random.Float64() < serviceRatio {
 		r.smallService(ctx, number, random)
 		return
 	}
