--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -25,7 +25,7 @@
 	progressInterval  = 2 * time.Second
 	maxInFlight       = 2500
 	serviceRatio      = 0.2  // of requests that go to the small service
-	resendShare       = 0.3  // of small service requests that are sent twice at once
+	duplicateRatio    = 0.3  // of small service requests that are sent twice at once
 	hangUpShare       = 0.02 // of streams whose caller hangs up
 	streamShare       = 0.7  // of completions that are streamed
 	serviceBodyFormat = `{"stop":%d,"bags":%d}`
--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -34,7 +34,7 @@
 	started := time.Now()
 	var answers sync.WaitGroup
 	outcomes := make([]serviceOutcome, 1)
-	if random.Float64() < resendShare {
+	if random.Float64() < duplicateRatio {
 		outcomes = make([]serviceOutcome, 2)
 	}
 	for i := range outcomes {
