--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -28,7 +28,7 @@
 func (r *runner) completion(ctx context.Context, number int, prompt traffic.Prompt, random *rand.Rand) {
 	body := api.CompletionRequest{
 		Model: r.options.Deployment.Model.Name, Prompt: prompt.Text, MaxTokens: prompt.MaxTokens,
-		Stream: random.Float64() < streamShare, Seed: uint64(number) + 1,
+		Stream: random.Float64() < streamRatio, Seed: uint64(number) + 1,
 	}
 	path := "/v1/completions"
 	if random.IntN(2) == 0 {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -27,7 +27,7 @@
 	serviceRatio      = 0.2  // of requests that go to the small service
 	duplicateRatio    = 0.3  // of small service requests that are sent twice at once
 	disconnectRatio   = 0.02 // of streams whose caller hangs up
-	streamShare       = 0.7  // of completions that are streamed
+	streamRatio       = 0.7  // of completions that are streamed
 	serviceBodyFormat = `{"stop":%d,"bags":%d}`
 )
 
