--- a/cmd/kitelab/load.go
+++ b/cmd/kitelab/load.go
@@ -61,7 +61,7 @@
 	defer stop()
 	result, err := load.Run(ctx, load.Options{
 		Deployment: deployment, Routers: splitList(f.routers), Keys: splitList(f.keys), Backends: splitList(f.backends),
-		Duration: f.duration, Rate: f.rate, Seed: f.seed, AllowBroken: f.allowBroken, Progress: os.Stderr,
+		Duration: f.duration, Rate: f.rate, Seed: f.seed, AllowBrokenConnections: f.allowBroken, Progress: os.Stderr,
 		HangUps: f.hangUps, WithoutService: f.noService,
 	})
 	if err != nil {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -33,17 +33,17 @@
 
 // Options describe a run.
 type Options struct {
-	Deployment     *plan.Deployment
-	Routers        []string
-	Keys           []string // API keys; requests are spread over them
-	Backends       []string // small services, to read their runs afterwards; may be empty
-	Duration       time.Duration
-	Rate           float64 // requests a second
-	Seed           uint64
-	AllowBroken    bool // broken connections are expected, because a process is killed on purpose
-	Progress       io.Writer
-	HangUps        bool
-	WithoutService bool
+	Deployment             *plan.Deployment
+	Routers                []string
+	Keys                   []string // API keys; requests are spread over them
+	Backends               []string // small services, to read their runs afterwards; may be empty
+	Duration               time.Duration
+	Rate                   float64 // requests a second
+	Seed                   uint64
+	AllowBrokenConnections bool // broken connections are expected, because a process is killed on purpose
+	Progress               io.Writer
+	HangUps                bool
+	WithoutService         bool
 }
 
 // Result counts what callers saw.
