--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -38,7 +38,7 @@
 	expect := expectation{digest: xxhash.Sum64String(body.Text()), seed: body.Seed, tokens: body.MaxTokens}
 	requestCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if r.options.HangUps && body.Stream && random.Float64() < disconnectRatio {
+	if r.options.ClientDisconnects && body.Stream && random.Float64() < disconnectRatio {
 		expect.disconnectAfter = 1 + random.IntN(5)
 	}
 	r.count(func(result *Result) { result.Requests++ })
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -42,7 +42,7 @@
 	Seed                   uint64
 	AllowBrokenConnections bool // broken connections are expected, because a process is killed on purpose
 	Progress               io.Writer
-	HangUps                bool
+	ClientDisconnects      bool
 	WithoutService         bool
 }
 
