--- a/cmd/kitelab/load.go
+++ b/cmd/kitelab/load.go
@@ -62,7 +62,7 @@
 	result, err := load.Run(ctx, load.Options{
 		Deployment: deployment, Routers: splitList(f.routers), Keys: splitList(f.keys), Backends: splitList(f.backends),
 		Duration: f.duration, Rate: f.rate, Seed: f.seed, AllowBrokenConnections: f.allowBroken, Progress: os.Stderr,
-		ClientDisconnects: f.hangUps, WithoutService: f.noService,
+		ClientDisconnects: f.hangUps, SkipService: f.noService,
 	})
 	if err != nil {
 		return err
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -43,7 +43,7 @@
 	AllowBrokenConnections bool // broken connections are expected, because a process is killed on purpose
 	Progress               io.Writer
 	ClientDisconnects      bool
-	WithoutService         bool
+	SkipService            bool
 }
 
 // Result counts what callers saw.
@@ -161,7 +161,7 @@
 }
 
 func (r *runner) one(ctx context.Context, number int, prompt traffic.Prompt, random *rand.Rand) {
-	if !r.options.WithoutService && random.Float64() < serviceRatio {
+	if !r.options.SkipService && random.Float64() < serviceRatio {
 		r.smallService(ctx, number, random)
 		return
 	}
