--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -119,7 +119,7 @@
 	var problem api.Problem
 	_ = json.NewDecoder(response.Body).Decode(&problem) // an unreadable one counts as a refusal without reason
 	r.count(func(result *Result) {
-		result.Refused++
+		result.Rejected++
 		result.Reasons[strings.TrimPrefix(problem.Type, "urn:kitetiller:")+"/"+string(problem.Run)]++
 	})
 	return problem
--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -108,7 +108,7 @@
 		case best.complete:
 			result.Complete++
 		case best.problem != nil:
-			result.Refused++
+			result.Rejected++
 			result.Reasons[best.problem.Type+"/"+string(best.problem.Run)]++
 			allNotRun := true
 			for _, outcome := range outcomes {
