--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -144,7 +144,7 @@
 			r.recordStreamEnd(next, expect)
 			return
 		case failed:
-			r.count(func(result *Result) { result.Errors++ })
+			r.count(func(result *Result) { result.ErrorEvents++ })
 			return
 		default:
 			if next == 0 {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -51,7 +51,7 @@
 	Requests    int            `json:"requests"`
 	Complete    int            `json:"complete"`
 	Rejected    int            `json:"refused"`
-	Errors      int            `json:"errors"` // error events in streams, and answers that say unknown
+	ErrorEvents int            `json:"errors"` // error events in streams, and answers that say unknown
 	Broken      int            `json:"broken_connections"`
 	HungUp      int            `json:"hung_up"`
 	Lost        int            `json:"lost"` // no answer, or an end that was neither complete nor an error
@@ -156,7 +156,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	fmt.Fprintf(r.options.Progress, "%5.0fs requests=%d complete=%d refused=%d errors=%d first-token p50=%.0fms p99=%.0fms\n",
-		elapsed.Seconds(), r.result.Requests, r.result.Complete, r.result.Rejected, r.result.Errors+r.result.Broken,
+		elapsed.Seconds(), r.result.Requests, r.result.Complete, r.result.Rejected, r.result.ErrorEvents+r.result.Broken,
 		quantiles(r.first).P50, quantiles(r.first).P99)
 }
 
