--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -49,7 +49,7 @@
 	}
 	response, err := r.send(requestCtx, r.router(random), path, r.key(random), headers, mustJSON(body))
 	if err != nil {
-		r.count(func(result *Result) { result.Broken++ })
+		r.count(func(result *Result) { result.BrokenConnections++ })
 		return
 	}
 	defer response.Body.Close()
@@ -159,7 +159,7 @@
 	}
 	r.count(func(result *Result) {
 		if scanner.Err() != nil {
-			result.Broken++
+			result.BrokenConnections++
 		} else {
 			result.Lost++
 		}
@@ -214,7 +214,7 @@
 func (r *runner) checkUnstreamed(body io.Reader, expect expectation, started time.Time) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		r.count(func(result *Result) { result.Broken++ })
+		r.count(func(result *Result) { result.BrokenConnections++ })
 		return
 	}
 	var response api.CompletionResponse
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -48,20 +48,20 @@
 
 // Result counts what callers saw.
 type Result struct {
-	Requests    int            `json:"requests"`
-	Complete    int            `json:"complete"`
-	Rejected    int            `json:"refused"`
-	ErrorEvents int            `json:"errors"` // error events in streams, and answers that say unknown
-	Broken      int            `json:"broken_connections"`
-	HungUp      int            `json:"hung_up"`
-	Lost        int            `json:"lost"` // no answer, or an end that was neither complete nor an error
-	Duplicated  int            `json:"duplicated"`
-	OutOfOrder  int            `json:"out_of_order"`
-	WrongAnswer int            `json:"wrong_answer"`
-	FalseNotRun int            `json:"false_not_run"` // refused as not run, yet the back end ran it
-	Reasons     map[string]int `json:"reasons"`
-	FirstTokens Quantiles      `json:"first_token_ms"`
-	Service     Quantiles      `json:"service_ms"`
+	Requests          int            `json:"requests"`
+	Complete          int            `json:"complete"`
+	Rejected          int            `json:"refused"`
+	ErrorEvents       int            `json:"errors"` // error events in streams, and answers that say unknown
+	BrokenConnections int            `json:"broken_connections"`
+	HungUp            int            `json:"hung_up"`
+	Lost              int            `json:"lost"` // no answer, or an end that was neither complete nor an error
+	Duplicated        int            `json:"duplicated"`
+	OutOfOrder        int            `json:"out_of_order"`
+	WrongAnswer       int            `json:"wrong_answer"`
+	FalseNotRun       int            `json:"false_not_run"` // refused as not run, yet the back end ran it
+	Reasons           map[string]int `json:"reasons"`
+	FirstTokens       Quantiles      `json:"first_token_ms"`
+	Service           Quantiles      `json:"service_ms"`
 }
 
 // Quantiles are milliseconds.
@@ -77,7 +77,7 @@
 func (r Result) Sound(allowBroken bool) bool {
 	faults := r.Lost + r.Duplicated + r.OutOfOrder + r.WrongAnswer + r.FalseNotRun
 	if !allowBroken {
-		faults += r.Broken
+		faults += r.BrokenConnections
 	}
 	return faults == 0 && r.Complete > 0
 }
@@ -156,7 +156,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	fmt.Fprintf(r.options.Progress, "%5.0fs requests=%d complete=%d refused=%d errors=%d first-token p50=%.0fms p99=%.0fms\n",
-		elapsed.Seconds(), r.result.Requests, r.result.Complete, r.result.Rejected, r.result.ErrorEvents+r.result.Broken,
+		elapsed.Seconds(), r.result.Requests, r.result.Complete, r.result.Rejected, r.result.ErrorEvents+r.result.BrokenConnections,
 		quantiles(r.first).P50, quantiles(r.first).P99)
 }
 
--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -116,7 +116,7 @@
 			}
 			r.notRun[idempotencyKey] = allNotRun
 		default:
-			result.Broken++
+			result.BrokenConnections++
 		}
 	})
 }
