--- a/cmd/kitelab/load.go
+++ b/cmd/kitelab/load.go
@@ -98,7 +98,7 @@
 	}{{"time to first token", result.FirstTokens}, {"small service", result.Service}} {
 		fmt.Printf("%-22s %8d %9.1f %9.1f %9.1f %9.1f\n", row.name, row.q.Count, row.q.P50, row.q.P95, row.q.P99, row.q.Max)
 	}
-	fmt.Printf("errors=%d broken_connections=%d hung_up=%d false_not_run=%d\n", result.ErrorEvents, result.BrokenConnections, result.HungUp, result.FalseNotRun)
+	fmt.Printf("errors=%d broken_connections=%d hung_up=%d false_not_run=%d\n", result.ErrorEvents, result.BrokenConnections, result.ClientDisconnects, result.FalseNotRun)
 	for reason, count := range result.Reasons {
 		fmt.Printf("  refused as %s: %d\n", reason, count)
 	}
--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -152,7 +152,7 @@
 			}
 			next = r.checkChunk(data, position, next, expect)
 			if expect.disconnectAfter > 0 && next >= expect.disconnectAfter {
-				r.count(func(result *Result) { result.HungUp++ })
+				r.count(func(result *Result) { result.ClientDisconnects++ })
 				return
 			}
 		}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -53,7 +53,7 @@
 	Rejected          int            `json:"refused"`
 	ErrorEvents       int            `json:"errors"` // error events in streams, and answers that say unknown
 	BrokenConnections int            `json:"broken_connections"`
-	HungUp            int            `json:"hung_up"`
+	ClientDisconnects int            `json:"hung_up"`
 	Lost              int            `json:"lost"` // no answer, or an end that was neither complete nor an error
 	Duplicated        int            `json:"duplicated"`
 	OutOfOrder        int            `json:"out_of_order"`
