--- a/cmd/kitelab/load.go
+++ b/cmd/kitelab/load.go
@@ -73,7 +73,7 @@
 	printLoad(result)
 	fmt.Printf("%s: requests=%d complete=%d refused=%d lost=%d duplicated=%d out_of_order=%d wrong_answer=%d\n", f.label,
 		result.Requests, result.Complete, result.Rejected, result.Lost, result.Duplicated, result.OutOfOrder, result.WrongAnswer)
-	if !result.Sound(f.allowBroken) {
+	if !result.Passed(f.allowBroken) {
 		return errViolation
 	}
 	return nil
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -73,8 +73,8 @@
 	Max   float64 `json:"max"`
 }
 
-// Sound reports whether nothing was lost, doubled, reordered or wrong.
-func (r Result) Sound(allowBroken bool) bool {
+// Passed reports whether nothing was lost, doubled, reordered or wrong.
+func (r Result) Passed(allowBroken bool) bool {
 	faults := r.Lost + r.Duplicated + r.OutOfOrder + r.WrongAnswer + r.FalseNotRun
 	if !allowBroken {
 		faults += r.BrokenConnections
