--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -75,11 +75,11 @@
 
 // Passed reports whether nothing was lost, doubled, reordered or wrong.
 func (r Result) Passed(allowBroken bool) bool {
-	faults := r.Lost + r.Duplicated + r.OutOfOrder + r.WrongAnswer + r.FalseNotRun
+	violations := r.Lost + r.Duplicated + r.OutOfOrder + r.WrongAnswer + r.FalseNotRun
 	if !allowBroken {
-		faults += r.BrokenConnections
+		violations += r.BrokenConnections
 	}
-	return faults == 0 && r.Complete > 0
+	return violations == 0 && r.Complete > 0
 }
 
 // runner is a run in progress.
