--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -169,7 +169,7 @@
 func (r *runner) recordFirstToken(started time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	_ = r.first.RecordValue(time.Since(started).Microseconds()) // beyond the range only after the timeout
+	_ = r.firstToken.RecordValue(time.Since(started).Microseconds()) // beyond the range only after the timeout
 }
 
 // checkChunk checks one token's position and text and returns the next position.
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -84,14 +84,14 @@
 
 // runner is a run in progress.
 type runner struct {
-	options Options
-	client  *http.Client
-	mutex   sync.Mutex
-	result  Result
-	first   *hdrhistogram.Histogram
-	service *hdrhistogram.Histogram
-	notRun  map[string]bool // keys whose last answer said not run
-	sent    map[string]bool // keys ever sent
+	options    Options
+	client     *http.Client
+	mutex      sync.Mutex
+	result     Result
+	firstToken *hdrhistogram.Histogram
+	service    *hdrhistogram.Histogram
+	notRun     map[string]bool // keys whose last answer said not run
+	sent       map[string]bool // keys ever sent
 }
 
 // Run sends requests until the duration has passed and every answer is in.
@@ -100,18 +100,18 @@
 		return Result{}, eris.New("at least one router and one API key are needed")
 	}
 	r := &runner{
-		options: options,
-		client:  &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 512}},
-		first:   hdrhistogram.New(1, histogramMax, histogramDigits),
-		service: hdrhistogram.New(1, histogramMax, histogramDigits),
-		notRun:  map[string]bool{}, sent: map[string]bool{},
+		options:    options,
+		client:     &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 512}},
+		firstToken: hdrhistogram.New(1, histogramMax, histogramDigits),
+		service:    hdrhistogram.New(1, histogramMax, histogramDigits),
+		notRun:     map[string]bool{}, sent: map[string]bool{},
 		result: Result{Reasons: map[string]int{}},
 	}
 	r.generate(ctx)
 	if err := r.checkRuns(); err != nil {
 		return r.result, err
 	}
-	r.result.FirstTokens, r.result.Service = quantiles(r.first), quantiles(r.service)
+	r.result.FirstTokens, r.result.Service = quantiles(r.firstToken), quantiles(r.service)
 	return r.result, nil
 }
 
@@ -157,7 +157,7 @@
 	defer r.mutex.Unlock()
 	fmt.Fprintf(r.options.Progress, "%5.0fs requests=%d complete=%d refused=%d errors=%d first-token p50=%.0fms p99=%.0fms\n",
 		elapsed.Seconds(), r.result.Requests, r.result.Complete, r.result.Rejected, r.result.ErrorEvents+r.result.BrokenConnections,
-		quantiles(r.first).P50, quantiles(r.first).P99)
+		quantiles(r.firstToken).P50, quantiles(r.firstToken).P99)
 }
 
 func (r *runner) one(ctx context.Context, number int, prompt traffic.Prompt, random *rand.Rand) {
