--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -125,7 +125,7 @@
 	random := rand.New(rand.NewPCG(r.options.Seed, 3))
 	scale := r.options.Rate / r.options.Deployment.Traffic.RequestsPerSecond
 	prompts := traffic.New(r.options.Deployment, r.options.Seed, scale)
-	slots := make(chan struct{}, maxInFlight)
+	inFlight := make(chan struct{}, maxInFlight)
 	start := time.Now()
 	reported := start
 	var requests sync.WaitGroup
@@ -139,10 +139,10 @@
 			reported = time.Now()
 			r.progress(time.Since(start))
 		}
-		slots <- struct{}{}
+		inFlight <- struct{}{}
 		seed := random.Uint64()
 		requests.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-inFlight }()
 			r.one(ctx, number, prompt, rand.New(rand.NewPCG(seed, 5)))
 		})
 	}
