--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -127,7 +127,7 @@
 	prompts := traffic.New(r.options.Deployment, r.options.Seed, scale)
 	inFlight := make(chan struct{}, maxInFlight)
 	start := time.Now()
-	reported := start
+	lastProgress := start
 	var requests sync.WaitGroup
 	for number := 0; ctx.Err() == nil; number++ {
 		prompt := prompts.Next()
@@ -135,8 +135,8 @@
 			break
 		}
 		time.Sleep(time.Until(start.Add(prompt.At)))
-		if time.Since(reported) > progressInterval {
-			reported = time.Now()
+		if time.Since(lastProgress) > progressInterval {
+			lastProgress = time.Now()
 			r.progress(time.Since(start))
 		}
 		inFlight <- struct{}{}
