--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -128,7 +128,7 @@
 	inFlight := make(chan struct{}, maxInFlight)
 	start := time.Now()
 	lastProgress := start
-	var requests sync.WaitGroup
+	var running sync.WaitGroup
 	for number := 0; ctx.Err() == nil; number++ {
 		prompt := prompts.Next()
 		if prompt.At > r.options.Duration {
@@ -141,12 +141,12 @@
 		}
 		inFlight <- struct{}{}
 		seed := random.Uint64()
-		requests.Go(func() {
+		running.Go(func() {
 			defer func() { <-inFlight }()
 			r.one(ctx, number, prompt, rand.New(rand.NewPCG(seed, 5)))
 		})
 	}
-	requests.Wait()
+	running.Wait()
 }
 
 func (r *runner) progress(elapsed time.Duration) {
