--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -137,7 +137,7 @@
 		time.Sleep(time.Until(start.Add(prompt.At)))
 		if time.Since(lastProgress) > progressInterval {
 			lastProgress = time.Now()
-			r.progress(time.Since(start))
+			r.printProgress(time.Since(start))
 		}
 		inFlight <- struct{}{}
 		seed := random.Uint64()
@@ -149,7 +149,7 @@
 	running.Wait()
 }
 
-func (r *runner) progress(elapsed time.Duration) {
+func (r *runner) printProgress(elapsed time.Duration) {
 	if r.options.Progress == nil {
 		return
 	}
