--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -143,7 +143,7 @@
 		seed := random.Uint64()
 		running.Go(func() {
 			defer func() { <-inFlight }()
-			r.one(ctx, number, prompt, rand.New(rand.NewPCG(seed, 5)))
+			r.sendRequest(ctx, number, prompt, rand.New(rand.NewPCG(seed, 5)))
 		})
 	}
 	running.Wait()
@@ -160,7 +160,7 @@
 		quantiles(r.firstToken).P50, quantiles(r.firstToken).P99)
 }
 
-func (r *runner) one(ctx context.Context, number int, prompt traffic.Prompt, random *rand.Rand) {
+func (r *runner) sendRequest(ctx context.Context, number int, prompt traffic.Prompt, random *rand.Rand) {
 	if !r.options.SkipService && random.Float64() < serviceRatio {
 		r.smallService(ctx, number, random)
 		return
