--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -41,7 +41,7 @@
 	if r.options.ClientDisconnects && body.Stream && random.Float64() < disconnectRatio {
 		expect.disconnectAfter = 1 + random.IntN(5)
 	}
-	r.count(func(result *Result) { result.Requests++ })
+	r.updateResult(func(result *Result) { result.Requests++ })
 	started := time.Now()
 	headers := map[string]string{}
 	if prompt.Short {
@@ -49,7 +49,7 @@
 	}
 	response, err := r.send(requestCtx, r.router(random), path, r.key(random), headers, mustJSON(body))
 	if err != nil {
-		r.count(func(result *Result) { result.BrokenConnections++ })
+		r.updateResult(func(result *Result) { result.BrokenConnections++ })
 		return
 	}
 	defer response.Body.Close()
@@ -118,7 +118,7 @@
 func (r *runner) recordRejection(response *http.Response) api.Problem {
 	var problem api.Problem
 	_ = json.NewDecoder(response.Body).Decode(&problem) // an unreadable one counts as a refusal without reason
-	r.count(func(result *Result) {
+	r.updateResult(func(result *Result) {
 		result.Rejected++
 		result.Reasons[strings.TrimPrefix(problem.Type, "urn:kitetiller:")+"/"+string(problem.Run)]++
 	})
@@ -144,7 +144,7 @@
 			r.recordStreamEnd(next, expect)
 			return
 		case failed:
-			r.count(func(result *Result) { result.ErrorEvents++ })
+			r.updateResult(func(result *Result) { result.ErrorEvents++ })
 			return
 		default:
 			if next == 0 {
@@ -152,12 +152,12 @@
 			}
 			next = r.checkChunk(data, position, next, expect)
 			if expect.disconnectAfter > 0 && next >= expect.disconnectAfter {
-				r.count(func(result *Result) { result.ClientDisconnects++ })
+				r.updateResult(func(result *Result) { result.ClientDisconnects++ })
 				return
 			}
 		}
 	}
-	r.count(func(result *Result) {
+	r.updateResult(func(result *Result) {
 		if scanner.Err() != nil {
 			result.BrokenConnections++
 		} else {
@@ -176,7 +176,7 @@
 func (r *runner) checkChunk(data string, position, next int, expect expectation) int {
 	var chunk api.CompletionResponse
 	if json.Unmarshal([]byte(data), &chunk) != nil || len(chunk.Choices) != 1 {
-		r.count(func(result *Result) { result.WrongAnswer++ })
+		r.updateResult(func(result *Result) { result.WrongAnswer++ })
 		return next
 	}
 	choice := chunk.Choices[0]
@@ -187,7 +187,7 @@
 	if choice.Delta != nil {
 		text = choice.Delta.Content
 	}
-	r.count(func(result *Result) {
+	r.updateResult(func(result *Result) {
 		switch {
 		case position < next:
 			result.Duplicated++
@@ -201,7 +201,7 @@
 }
 
 func (r *runner) recordStreamEnd(tokens int, expect expectation) {
-	r.count(func(result *Result) {
+	r.updateResult(func(result *Result) {
 		if tokens != expect.tokens {
 			result.Lost++
 			return
@@ -214,7 +214,7 @@
 func (r *runner) checkUnstreamed(body io.Reader, expect expectation, started time.Time) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		r.count(func(result *Result) { result.BrokenConnections++ })
+		r.updateResult(func(result *Result) { result.BrokenConnections++ })
 		return
 	}
 	var response api.CompletionResponse
@@ -231,7 +231,7 @@
 		correct = text == want.String()
 	}
 	_ = started // whole answers have no first token of their own
-	r.count(func(result *Result) {
+	r.updateResult(func(result *Result) {
 		if correct {
 			result.Complete++
 		} else {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -168,8 +168,8 @@
 	r.completion(ctx, number, prompt, random)
 }
 
-// count changes the result under the lock.
-func (r *runner) count(change func(*Result)) {
+// updateResult changes the result under the lock.
+func (r *runner) updateResult(change func(*Result)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	change(&r.result)
--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -30,7 +30,7 @@
 	idempotencyKey := fmt.Sprintf("load-%d-%d", r.options.Seed, number)
 	body := fmt.Appendf(nil, serviceBodyFormat, number, random.IntN(90))
 	apiKey := r.key(random)
-	r.count(func(result *Result) { result.Requests++; r.sent[idempotencyKey] = true })
+	r.updateResult(func(result *Result) { result.Requests++; r.sent[idempotencyKey] = true })
 	started := time.Now()
 	var answers sync.WaitGroup
 	outcomes := make([]serviceOutcome, 1)
@@ -93,7 +93,7 @@
 
 // countService counts one request by the best of what its senders learned.
 func (r *runner) countService(idempotencyKey string, outcomes []serviceOutcome, started time.Time) {
-	r.count(func(result *Result) {
+	r.updateResult(func(result *Result) {
 		_ = r.service.RecordValue(time.Since(started).Microseconds()) // beyond the range only after the timeout
 		best := outcomes[0]
 		for _, outcome := range outcomes {
