--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -169,10 +169,10 @@
 }
 
 // updateResult changes the result under the lock.
-func (r *runner) updateResult(change func(*Result)) {
+func (r *runner) updateResult(update func(*Result)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	change(&r.result)
+	update(&r.result)
 }
 
 func (r *runner) router(random *rand.Rand) string {
