--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -175,7 +175,7 @@
 	update(&r.result)
 }
 
-func (r *runner) router(random *rand.Rand) string {
+func (r *runner) randomRouter(random *rand.Rand) string {
 	return r.options.Routers[random.IntN(len(r.options.Routers))]
 }
 
--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -72,7 +72,7 @@
 }
 
 func (r *runner) sendServiceOnce(ctx context.Context, idempotencyKey, apiKey string, body []byte, random *rand.Rand) serviceOutcome {
-	response, err := r.send(ctx, r.router(random), "/v1/services/"+r.options.Deployment.Small.Name, apiKey, map[string]string{api.HeaderIdempotencyKey: idempotencyKey}, body)
+	response, err := r.send(ctx, r.randomRouter(random), "/v1/services/"+r.options.Deployment.Small.Name, apiKey, map[string]string{api.HeaderIdempotencyKey: idempotencyKey}, body)
 	if err != nil {
 		return serviceOutcome{broken: true}
 	}
