--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -47,7 +47,7 @@
 	if prompt.Short {
 		headers[api.HeaderPriority] = "interactive"
 	}
-	response, err := r.send(requestCtx, r.randomRouter(random), path, r.key(random), headers, mustJSON(body))
+	response, err := r.send(requestCtx, r.randomRouter(random), path, r.randomKey(random), headers, mustJSON(body))
 	if err != nil {
 		r.updateResult(func(result *Result) { result.BrokenConnections++ })
 		return
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -179,6 +179,6 @@
 	return r.options.Routers[random.IntN(len(r.options.Routers))]
 }
 
-func (r *runner) key(random *rand.Rand) string {
+func (r *runner) randomKey(random *rand.Rand) string {
 	return r.options.Keys[random.IntN(len(r.options.Keys))]
 }
--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -29,7 +29,7 @@
 func (r *runner) smallService(ctx context.Context, number int, random *rand.Rand) {
 	idempotencyKey := fmt.Sprintf("load-%d-%d", r.options.Seed, number)
 	body := fmt.Appendf(nil, serviceBodyFormat, number, random.IntN(90))
-	apiKey := r.key(random)
+	apiKey := r.randomKey(random)
 	r.updateResult(func(result *Result) { result.Requests++; r.sent[idempotencyKey] = true })
 	started := time.Now()
 	var answers sync.WaitGroup
