--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	resendTries = 6
-	resendPause = 300 * time.Millisecond
-	runsTimeout = 5 * time.Second
+	maxServiceAttempts = 6
+	resendPause        = 300 * time.Millisecond
+	runsTimeout        = 5 * time.Second
 )
 
 // smallService sends a non-repeatable request, sometimes twice at once to two routers, and sends it again
@@ -56,7 +56,7 @@
 // sendService sends until it has an answer or a refusal that will not change.
 func (r *runner) sendService(ctx context.Context, idempotencyKey, apiKey string, body []byte, random *rand.Rand) serviceOutcome {
 	var last serviceOutcome
-	for try := 0; try < resendTries && ctx.Err() == nil; try++ {
+	for try := 0; try < maxServiceAttempts && ctx.Err() == nil; try++ {
 		last = r.sendServiceOnce(ctx, idempotencyKey, apiKey, body, random)
 		if !last.again() {
 			return last
