--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -20,7 +20,7 @@
 
 const (
 	maxServiceAttempts = 6
-	resendPause        = 300 * time.Millisecond
+	retryDelay         = 300 * time.Millisecond
 	runsTimeout        = 5 * time.Second
 )
 
@@ -61,7 +61,7 @@
 		if !last.again() {
 			return last
 		}
-		time.Sleep(resendPause)
+		time.Sleep(retryDelay)
 	}
 	return last
 }
