--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -162,7 +162,7 @@
 
 func (r *runner) sendRequest(ctx context.Context, number int, prompt traffic.Prompt, random *rand.Rand) {
 	if !r.options.SkipService && random.Float64() < serviceRatio {
-		r.smallService(ctx, number, random)
+		r.sendServiceRequest(ctx, number, random)
 		return
 	}
 	r.completion(ctx, number, prompt, random)
--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -24,9 +24,9 @@
 	runsTimeout        = 5 * time.Second
 )
 
-// smallService sends a non-repeatable request, sometimes twice at once to two routers, and sends it again
+// sendServiceRequest sends a non-repeatable request, sometimes twice at once to two routers, and sends it again
 // with the same key while its result is not known.
-func (r *runner) smallService(ctx context.Context, number int, random *rand.Rand) {
+func (r *runner) sendServiceRequest(ctx context.Context, number int, random *rand.Rand) {
 	idempotencyKey := fmt.Sprintf("load-%d-%d", r.options.Seed, number)
 	body := fmt.Appendf(nil, serviceBodyFormat, number, random.IntN(90))
 	apiKey := r.randomKey(random)
