--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -32,16 +32,16 @@
 	apiKey := r.randomKey(random)
 	r.updateResult(func(result *Result) { result.Requests++; r.sent[idempotencyKey] = true })
 	started := time.Now()
-	var answers sync.WaitGroup
+	var senders sync.WaitGroup
 	outcomes := make([]serviceOutcome, 1)
 	if random.Float64() < duplicateRatio {
 		outcomes = make([]serviceOutcome, 2)
 	}
 	for i := range outcomes {
 		local := rand.New(rand.NewPCG(random.Uint64(), 11))
-		answers.Go(func() { outcomes[i] = r.sendService(ctx, idempotencyKey, apiKey, body, local) })
+		senders.Go(func() { outcomes[i] = r.sendService(ctx, idempotencyKey, apiKey, body, local) })
 	}
-	answers.Wait()
+	senders.Wait()
 	r.countService(idempotencyKey, outcomes, started)
 }
 
