--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -58,7 +58,7 @@
 	var last serviceOutcome
 	for try := 0; try < maxServiceAttempts && ctx.Err() == nil; try++ {
 		last = r.sendServiceOnce(ctx, idempotencyKey, apiKey, body, random)
-		if !last.again() {
+		if !last.retryable() {
 			return last
 		}
 		time.Sleep(retryDelay)
@@ -66,8 +66,8 @@
 	return last
 }
 
-// again reports whether sending once more can help.
-func (o serviceOutcome) again() bool {
+// retryable reports whether sending once more can help.
+func (o serviceOutcome) retryable() bool {
 	return o.broken || (o.problem != nil && o.problem.RetryAfter > 0)
 }
 
