--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -56,7 +56,7 @@
 // sendService sends until it has an answer or a refusal that will not change.
 func (r *runner) sendService(ctx context.Context, idempotencyKey, apiKey string, body []byte, random *rand.Rand) serviceOutcome {
 	var last serviceOutcome
-	for try := 0; try < maxServiceAttempts && ctx.Err() == nil; try++ {
+	for attempt := 0; attempt < maxServiceAttempts && ctx.Err() == nil; attempt++ {
 		last = r.sendServiceOnce(ctx, idempotencyKey, apiKey, body, random)
 		if !last.retryable() {
 			return last
