--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -39,7 +39,7 @@
 	}
 	for i := range outcomes {
 		local := rand.New(rand.NewPCG(random.Uint64(), 11))
-		senders.Go(func() { outcomes[i] = r.sendService(ctx, idempotencyKey, apiKey, body, local) })
+		senders.Go(func() { outcomes[i] = r.sendServiceWithRetries(ctx, idempotencyKey, apiKey, body, local) })
 	}
 	senders.Wait()
 	r.countService(idempotencyKey, outcomes, started)
@@ -53,8 +53,8 @@
 	problem  *api.Problem
 }
 
-// sendService sends until it has an answer or a refusal that will not change.
-func (r *runner) sendService(ctx context.Context, idempotencyKey, apiKey string, body []byte, random *rand.Rand) serviceOutcome {
+// sendServiceWithRetries sends until it has an answer or a refusal that will not change.
+func (r *runner) sendServiceWithRetries(ctx context.Context, idempotencyKey, apiKey string, body []byte, random *rand.Rand) serviceOutcome {
 	var last serviceOutcome
 	for attempt := 0; attempt < maxServiceAttempts && ctx.Err() == nil; attempt++ {
 		last = r.sendServiceOnce(ctx, idempotencyKey, apiKey, body, random)
