--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -42,7 +42,7 @@
 		senders.Go(func() { outcomes[i] = r.sendServiceWithRetries(ctx, idempotencyKey, apiKey, body, local) })
 	}
 	senders.Wait()
-	r.countService(idempotencyKey, outcomes, started)
+	r.recordServiceOutcome(idempotencyKey, outcomes, started)
 }
 
 // serviceOutcome is what one sender finally learned.
@@ -91,8 +91,8 @@
 	return serviceOutcome{complete: true, wrong: !bytes.Equal(data, standin.ServiceResponse(body))}
 }
 
-// countService counts one request by the best of what its senders learned.
-func (r *runner) countService(idempotencyKey string, outcomes []serviceOutcome, started time.Time) {
+// recordServiceOutcome counts one request by the best of what its senders learned.
+func (r *runner) recordServiceOutcome(idempotencyKey string, outcomes []serviceOutcome, started time.Time) {
 	r.updateResult(func(result *Result) {
 		_ = r.service.RecordValue(time.Since(started).Microseconds()) // beyond the range only after the timeout
 		best := outcomes[0]
