--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -108,7 +108,7 @@
 		result: Result{Reasons: map[string]int{}},
 	}
 	r.generate(ctx)
-	if err := r.checkRuns(); err != nil {
+	if err := r.checkServiceRuns(); err != nil {
 		return r.result, err
 	}
 	r.result.FirstTokens, r.result.Service = quantiles(r.firstToken), quantiles(r.service)
--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -121,8 +121,8 @@
 	})
 }
 
-// checkRuns reads what the small services ran: no key twice, and none that was refused as not run.
-func (r *runner) checkRuns() error {
+// checkServiceRuns reads what the small services ran: no key twice, and none that was refused as not run.
+func (r *runner) checkServiceRuns() error {
 	seen := map[string]int{}
 	for _, address := range r.options.Backends {
 		runs, err := r.readRuns(address)
