--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -123,7 +123,7 @@
 
 // checkServiceRuns reads what the small services ran: no key twice, and none that was refused as not run.
 func (r *runner) checkServiceRuns() error {
-	seen := map[string]int{}
+	runCounts := map[string]int{}
 	for _, address := range r.options.Backends {
 		runs, err := r.readRuns(address)
 		if err != nil {
@@ -131,11 +131,11 @@
 		}
 		for _, run := range runs {
 			if r.sent[run.Key] {
-				seen[run.Key]++
+				runCounts[run.Key]++
 			}
 		}
 	}
-	for key, count := range seen {
+	for key, count := range runCounts {
 		if count > 1 {
 			r.result.Duplicated += count - 1
 		}
