--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestResumeAtTheEndGivesOnlyTheEndMarker: when the end marker was lost, a resume must not make another token.
-func TestResumeAtTheEndGivesOnlyTheEndMarker(t *testing.T) {
+// TestResumeAfterLastTokenProducesOnlyEndMarker: when the end marker was lost, a resume must not make another token.
+func TestResumeAfterLastTokenProducesOnlyEndMarker(t *testing.T) {
 	model := newTestModel()
 	resumed := newTestJob(1, chainOf(1, 3), 9)
 	resumed.ResumeFrom = 9
