--- a/cmd/kitelab/standins.go
+++ b/cmd/kitelab/standins.go
@@ -116,7 +116,7 @@
 	flags.attach(sub)
 	return command{sub, func() error {
 		return flags.serve("weights", func(d *plan.Deployment, log *zap.Logger) (runner, error) {
-			return standin.NewWeightStore(standin.WeightsConfig{
+			return standin.NewWeightStore(standin.WeightStoreConfig{
 				Listen: flags.listen, LoadTime: d.Weights.LoadTime, FullSpeedLimit: d.Weights.Concurrent,
 			}, log), nil
 		})
--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// WeightsConfig is what a weight store process needs to start.
-type WeightsConfig struct {
+// WeightStoreConfig is what a weight store process needs to start.
+type WeightStoreConfig struct {
 	Listen         string
 	LoadTime       time.Duration // of one engine alone
 	FullSpeedLimit int           // engines served at full speed
@@ -93,14 +93,14 @@
 
 // WeightStore is the rate-limited weight store.
 type WeightStore struct {
-	config      WeightsConfig
+	config      WeightStoreConfig
 	log         *zap.Logger
 	mutex       sync.Mutex
 	activeLoads int
 }
 
 // NewWeightStore returns a store.
-func NewWeightStore(config WeightsConfig, log *zap.Logger) *WeightStore {
+func NewWeightStore(config WeightStoreConfig, log *zap.Logger) *WeightStore {
 	return &WeightStore{config: config, log: log}
 }
 
