--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -195,10 +195,10 @@
 
 // NextWakeup returns when Advance has something to do, or false when the engine is idle.
 func (m *Model) NextWakeup() (time.Duration, bool) {
-	due, scheduled := time.Duration(0), false
+	wakeup, scheduled := time.Duration(0), false
 	consider := func(at time.Duration) {
-		if !scheduled || at < due {
-			due, scheduled = at, true
+		if !scheduled || at < wakeup {
+			wakeup, scheduled = at, true
 		}
 	}
 	if m.stepEnd > 0 {
@@ -209,7 +209,7 @@
 	if m.loadEndsAt > 0 && m.UnfinishedJobs() == 0 {
 		consider(m.loadEndsAt)
 	}
-	return due, scheduled
+	return wakeup, scheduled
 }
 
 // considerStepStart offers the times at which the next step can begin: now, or when a copy ends. A copy that ends
