--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -50,11 +50,11 @@
 func runUntilIdle(model *Model) []Output {
 	var all []Output
 	for {
-		due, scheduled := model.NextWakeup()
+		wakeup, scheduled := model.NextWakeup()
 		if !scheduled {
 			return all
 		}
-		all = append(all, model.Advance(due)...)
+		all = append(all, model.Advance(wakeup)...)
 	}
 }
 
