--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// relayChunk is how much is passed on at once.
-	relayChunk = 32 << 10
+	// copyBufferSize is how much is passed on at once.
+	copyBufferSize = 32 << 10
 	// dialTimeout is how long the far side may take to accept.
 	dialTimeout = 2 * time.Second
-	// heldPoll is how often a held connection looks whether it may go on.
-	heldPoll = 10 * time.Millisecond
+	// blockedPollInterval is how often a held connection looks whether it may go on.
+	blockedPollInterval = 10 * time.Millisecond
 )
 
 // Link names the direction from one process to another.
@@ -25,17 +25,17 @@
 type Proxy struct {
 	owner func(net.Conn) string // process that opened a connection that came to us, or ""
 
-	mu        sync.Mutex
-	silent    map[Link]int           // faults that hold what travels; guarded by mu
-	delays    map[Link]time.Duration // guarded by mu
-	open      map[*relay]struct{}    // guarded by mu
-	listeners []net.Listener         // guarded by mu
-	threads   sync.WaitGroup
-	done      chan struct{}
+	mu         sync.Mutex
+	blocked    map[Link]int              // faults that hold what travels; guarded by mu
+	delays     map[Link]time.Duration    // guarded by mu
+	open       map[*proxiedConn]struct{} // guarded by mu
+	listeners  []net.Listener            // guarded by mu
+	goroutines sync.WaitGroup
+	done       chan struct{}
 }
 
-// relay is one connection that is carried.
-type relay struct {
+// proxiedConn is one connection that is carried.
+type proxiedConn struct {
 	from, to  string
 	near, far net.Conn
 }
@@ -43,12 +43,12 @@
 // NewProxy returns a proxy; owner names the process that opened a connection.
 func NewProxy(owner func(net.Conn) string) *Proxy {
 	return &Proxy{
-		owner: owner, silent: map[Link]int{}, delays: map[Link]time.Duration{}, open: map[*relay]struct{}{}, done: make(chan struct{}),
+		owner: owner, blocked: map[Link]int{}, delays: map[Link]time.Duration{}, open: map[*proxiedConn]struct{}{}, done: make(chan struct{}),
 	}
 }
 
-// Carry listens at an address and passes connections on to a process's own one.
-func (p *Proxy) Carry(address, to, target string) error {
+// Forward listens at an address and passes connections on to a process's own one.
+func (p *Proxy) Forward(address, to, target string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return eris.Wrapf(err, "listen on %s for %s", address, to)
@@ -56,23 +56,23 @@
 	p.mu.Lock()
 	p.listeners = append(p.listeners, listener)
 	p.mu.Unlock()
-	p.threads.Go(func() {
+	p.goroutines.Go(func() {
 		for {
 			near, err := listener.Accept()
 			if err != nil {
 				return // closed
 			}
-			p.threads.Go(func() { p.carry(near, to, target) })
+			p.goroutines.Go(func() { p.handle(near, to, target) })
 		}
 	})
 	return nil
 }
 
-// carry passes one connection on, in both directions, until one side ends.
-func (p *Proxy) carry(near net.Conn, to, target string) {
+// handle passes one connection on, in both directions, until one side ends.
+func (p *Proxy) handle(near net.Conn, to, target string) {
 	defer near.Close()
 	from := p.owner(near)
-	if !p.mayPass(Link{from, to}) || !p.mayPass(Link{to, from}) {
+	if !p.waitForLink(Link{from, to}) || !p.waitForLink(Link{to, from}) {
 		return
 	}
 	far, err := net.DialTimeout("tcp", target, dialTimeout)
@@ -80,25 +80,25 @@
 		return
 	}
 	defer far.Close()
-	r := &relay{from: from, to: to, near: near, far: far}
+	r := &proxiedConn{from: from, to: to, near: near, far: far}
 	p.mu.Lock()
 	p.open[r] = struct{}{}
 	p.mu.Unlock()
-	var ways sync.WaitGroup
-	ways.Go(func() { p.pass(near, far, Link{from, to}) })
-	ways.Go(func() { p.pass(far, near, Link{to, from}) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copyDirection(near, far, Link{from, to}) })
+	directions.Go(func() { p.copyDirection(far, near, Link{to, from}) })
+	directions.Wait()
 	p.mu.Lock()
 	delete(p.open, r)
 	p.mu.Unlock()
 }
 
-// pass copies one direction, and ends it at the other side as it ended here.
-func (p *Proxy) pass(from, to net.Conn, link Link) {
-	buffer := make([]byte, relayChunk)
+// copyDirection copies one direction, and ends it at the other side as it ended here.
+func (p *Proxy) copyDirection(from, to net.Conn, link Link) {
+	buffer := make([]byte, copyBufferSize)
 	for {
 		count, err := from.Read(buffer)
-		if count > 0 && p.mayPass(link) {
+		if count > 0 && p.waitForLink(link) {
 			if _, writeErr := to.Write(buffer[:count]); writeErr != nil {
 				_ = from.Close()
 				return
@@ -107,7 +107,7 @@
 		if err == nil {
 			continue
 		}
-		if err == io.EOF && p.mayPass(link) {
+		if err == io.EOF && p.waitForLink(link) {
 			_ = to.(*net.TCPConn).CloseWrite()
 			return
 		}
@@ -124,8 +124,8 @@
 	_ = c.Close()
 }
 
-// mayPass waits for a link's delay, and as long as the link is silent; it is false once the proxy ends.
-func (p *Proxy) mayPass(link Link) bool {
+// waitForLink waits for a link's delay, and as long as the link is silent; it is false once the proxy ends.
+func (p *Proxy) waitForLink(link Link) bool {
 	p.mu.Lock()
 	delay := p.delays[link]
 	p.mu.Unlock()
@@ -134,31 +134,31 @@
 	}
 	for {
 		p.mu.Lock()
-		silent := p.silent[link] > 0
+		blocked := p.blocked[link] > 0
 		p.mu.Unlock()
-		if !silent {
+		if !blocked {
 			return true
 		}
 		select {
 		case <-p.done:
 			return false
-		case <-time.After(heldPoll):
+		case <-time.After(blockedPollInterval):
 		}
 	}
 }
 
-// Silence holds what travels on a link, as often as Heal is called for it.
-func (p *Proxy) Silence(link Link) {
+// Block holds what travels on a link, as often as Heal is called for it.
+func (p *Proxy) Block(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silent[link]++
+	p.blocked[link]++
 }
 
-// Heal takes one Silence back.
-func (p *Proxy) Heal(link Link) {
+// Unblock takes one Silence back.
+func (p *Proxy) Unblock(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silent[link]--
+	p.blocked[link]--
 }
 
 // Delay makes everything on a link take so much longer; 0 ends that.
@@ -192,5 +192,5 @@
 		abort(r.far)
 	}
 	p.mu.Unlock()
-	p.threads.Wait()
+	p.goroutines.Wait()
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// TestPlansComeFromTheirSeed: the same seed draws the same plan, which is read back as it was written.
-func TestPlansComeFromTheirSeed(t *testing.T) {
-	plan := Draw(7, time.Minute)
-	if !reflect.DeepEqual(plan, Draw(7, time.Minute)) || reflect.DeepEqual(plan.Faults, Draw(8, time.Minute).Faults) {
+// TestGenerateIsDeterministic: the same seed draws the same plan, which is read back as it was written.
+func TestGenerateIsDeterministic(t *testing.T) {
+	plan := Generate(7, time.Minute)
+	if !reflect.DeepEqual(plan, Generate(7, time.Minute)) || reflect.DeepEqual(plan.Faults, Generate(8, time.Minute).Faults) {
 		t.Fatal("plans do not follow their seeds")
 	}
 	path := filepath.Join(t.TempDir(), "plan.json")
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestBuildsTakeTurns: a process that has another build changes it with each start; one that has none keeps its own.
-func TestBuildsTakeTurns(t *testing.T) {
+// TestStartAlternatesBuilds: a process that has another build changes it with each start; one that has none keeps its own.
+func TestStartAlternatesBuilds(t *testing.T) {
 	folder := t.TempDir()
 	build := func(name string) string {
 		path := filepath.Join(folder, name)
@@ -46,116 +46,127 @@
 		return path
 	}
 	older, newer := build("older"), build("newer")
-	mixed := &Process{Name: "mixed", Args: []string{older}, Other: newer, Log: filepath.Join(folder, "mixed.log")}
+	mixed := &Process{Name: "mixed", Args: []string{older}, AlternateBuild: newer, Log: filepath.Join(folder, "mixed.log")}
 	plain := &Process{Name: "plain", Args: []string{older}, Log: filepath.Join(folder, "plain.log")}
 	for _, wanted := range []string{older, newer, older} {
-		if mixed.build() != wanted || plain.build() != older {
-			t.Fatalf("%s and %s are next, wanted %s and %s", mixed.build(), plain.build(), wanted, older)
+		if mixed.nextBuild() != wanted || plain.nextBuild() != older {
+			t.Fatalf("%s and %s are next, wanted %s and %s", mixed.nextBuild(), plain.nextBuild(), wanted, older)
 		}
 		for _, p := range []*Process{mixed, plain} {
 			if err := p.Start(); err != nil {
 				t.Fatal(err)
 			}
-			p.End(syscall.SIGKILL)
+			p.Stop(syscall.SIGKILL)
 		}
 	}
 }
 
-// TestWatchSeesBrokenPromises, each from the observation that decides it.
-func TestWatchSeesBrokenPromises(t *testing.T) {
-	limit := Allowance{Units: func(window time.Duration) float64 { return 100 * window.Seconds() }}
+// TestWatcherReportsViolations, each from the observation that decides it.
+func TestWatcherReportsViolations(t *testing.T) {
+	limit := TenantLimit{Units: func(window time.Duration) float64 { return 100 * window.Seconds() }}
 	for _, c := range []struct {
-		wanted Promise
-		do     func(*Watch)
+		wanted Guarantee
+		record func(*Watcher)
 	}{
-		{"", func(w *Watch) { w.Ran(0, "a", "t", 50); w.Ran(time.Second, "a", "t", 60); w.Answered("a", true, false) }},
-		{WithinLimit, func(w *Watch) { w.Ran(0, "a", "t", 50); w.Ran(time.Second-1, "a", "t", 60) }},
-		{AtMostOnce, func(w *Watch) { w.Ran(0, "once", "u", 1); w.Ran(1, "once", "u", 1) }},
-		{NotRunTrue, func(w *Watch) { w.Ran(0, "once", "u", 1); w.Refused("once", "refused") }},
-		{NotRunTrue, func(w *Watch) { w.Refused("once", "refused"); w.Ran(0, "once", "u", 1) }},
-		{OwnAnswer, func(w *Watch) { w.Answered("a", false, false) }},
-		{OwnAnswer, func(w *Watch) { w.Ran(0, "nobody's", "u", 1) }},
-		{ServiceBack, func(w *Watch) { w.ExpectBack(true); w.Answered("a", true, true); w.Failed("502", true) }},
-		{ServiceBack, func(w *Watch) { w.ExpectBack(true) }},
-		{NotForged, func(w *Watch) { w.Fail(NotForged, "a request reached it") }},
-		{NoOwnEnd, func(w *Watch) { w.Fail(NoOwnEnd, "it ended") }},
-		{"", func(w *Watch) { restArrivals(w, 2, time.Minute) }},
-		{RestGiven, func(w *Watch) { restArrivals(w, 3, time.Minute) }},
-		{"", func(w *Watch) { restArrivals(w, 9, time.Second) }},
-		{LeaveHeard, func(w *Watch) { leaveArrival(w, 4*time.Second, "b") }},
-		{"", func(w *Watch) { leaveArrival(w, 3*time.Second+leaveFree, "b") }},
-		{"", func(w *Watch) { leaveArrival(w, 4*time.Second, "the next life of b") }},
-		{"", func(w *Watch) { limitArrivals(w, 13, 5*time.Second, gateway) }},
-		{LimitNamed, func(w *Watch) { limitArrivals(w, 14, 5*time.Second, gateway) }},
-		{"", func(w *Watch) { limitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // that one hasn't heard of it
-		{"", func(w *Watch) { limitArrivals(w, 30, 3*time.Second, gateway) }},                       // too soon after the first naming
-		{"", func(w *Watch) { limitArrivals(w, 30, 30*time.Second, gateway) }},                      // the limit is over
-		{"", func(w *Watch) { w.Bunch(0, 2*time.Second); limitArrivals(w, 30, 5*time.Second, gateway) }},
-		{"", func(w *Watch) { deadlyArrivals(w, 6) }},
-		{HeldBack, func(w *Watch) { deadlyArrivals(w, 7) }},
-		{"", func(w *Watch) { w.Trouble(time.Minute, time.Minute); deadlyArrivals(w, 9) }},
+		{"", func(w *Watcher) {
+			w.RecordExecution(0, "a", "t", 50)
+			w.RecordExecution(time.Second, "a", "t", 60)
+			w.RecordSuccess("a", true, false)
+		}},
+		{WithinLimit, func(w *Watcher) { w.RecordExecution(0, "a", "t", 50); w.RecordExecution(time.Second-1, "a", "t", 60) }},
+		{AtMostOnce, func(w *Watcher) { w.RecordExecution(0, "once", "u", 1); w.RecordExecution(1, "once", "u", 1) }},
+		{NotRunHonored, func(w *Watcher) { w.RecordExecution(0, "once", "u", 1); w.RecordNotRun("once", "refused") }},
+		{NotRunHonored, func(w *Watcher) { w.RecordNotRun("once", "refused"); w.RecordExecution(0, "once", "u", 1) }},
+		{CorrectResponse, func(w *Watcher) { w.RecordSuccess("a", false, false) }},
+		{CorrectResponse, func(w *Watcher) { w.RecordExecution(0, "nobody's", "u", 1) }},
+		{ServiceRecovers, func(w *Watcher) {
+			w.ExpectRecovery(true)
+			w.RecordSuccess("a", true, true)
+			w.RecordFailure("502", true)
+		}},
+		{ServiceRecovers, func(w *Watcher) { w.ExpectRecovery(true) }},
+		{ForgedHeartbeatsIgnored, func(w *Watcher) { w.RecordViolation(ForgedHeartbeatsIgnored, "a request reached it") }},
+		{NoUnexpectedExit, func(w *Watcher) { w.RecordViolation(NoUnexpectedExit, "it ended") }},
+		{"", func(w *Watcher) { recordBackoffArrivals(w, 2, time.Minute) }},
+		{BackoffRespected, func(w *Watcher) { recordBackoffArrivals(w, 3, time.Minute) }},
+		{"", func(w *Watcher) { recordBackoffArrivals(w, 9, time.Second) }},
+		{DrainRespected, func(w *Watcher) { recordDrainArrival(w, 4*time.Second, "b") }},
+		{"", func(w *Watcher) { recordDrainArrival(w, 3*time.Second+drainPropagationDelay, "b") }},
+		{"", func(w *Watcher) { recordDrainArrival(w, 4*time.Second, "the next life of b") }},
+		{"", func(w *Watcher) { recordLimitArrivals(w, 13, 5*time.Second, sendingGateway) }},
+		{AdvertisedLimitRespected, func(w *Watcher) { recordLimitArrivals(w, 14, 5*time.Second, sendingGateway) }},
+		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // that one hasn't heard of it
+		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 3*time.Second, sendingGateway) }},                // too soon after the first naming
+		{"", func(w *Watcher) { recordLimitArrivals(w, 30, 30*time.Second, sendingGateway) }},               // the limit is over
+		{"", func(w *Watcher) {
+			w.RecordBurstWindow(0, 2*time.Second)
+			recordLimitArrivals(w, 30, 5*time.Second, sendingGateway)
+		}},
+		{"", func(w *Watcher) { recordFatalArrivals(w, 6) }},
+		{QuarantineEnforced, func(w *Watcher) { recordFatalArrivals(w, 7) }},
+		{"", func(w *Watcher) { w.RecordDisturbance(time.Minute, time.Minute); recordFatalArrivals(w, 9) }},
 	} {
-		w := NewWatch(time.Second, 0)
-		w.Limit("t", limit)
-		w.Asked("a", false)
-		w.Asked("once", true)
-		c.do(w)
+		w := NewWatcher(time.Second, 0)
+		w.RecordLimit("t", limit)
+		w.RecordRequest("a", false)
+		w.RecordRequest("once", true)
+		c.record(w)
 		broken := w.Close()
-		if c.wanted == "" && len(broken) > 0 || c.wanted != "" && (len(broken) != 1 || broken[0].Promise != c.wanted) {
+		if c.wanted == "" && len(broken) > 0 || c.wanted != "" && (len(broken) != 1 || broken[0].Guarantee != c.wanted) {
 			t.Errorf("wanted %q broken, found %v", c.wanted, broken)
 		}
 	}
 }
 
-// deadlyArrivals lets one request come so often, the first three at once, the rest a minute later.
-func deadlyArrivals(w *Watch, count int) {
+// recordFatalArrivals lets one request come so often, the first three at once, the rest a minute later.
+func recordFatalArrivals(w *Watcher, count int) {
 	for n := range count {
 		at := time.Duration(n)
-		if n >= deadlyLives {
+		if n >= quarantineThreshold {
 			at += time.Minute
 		}
-		w.Deadly(at, "deadly 1")
+		w.RecordFatalArrival(at, "deadly 1")
 	}
 }
 
-// TestSettledOnceEitherWasSeen: a fatal request can be judged once its callers were told often enough that it is held back, or once it came
+// TestQuarantineDecided: a fatal request can be judged once its callers were told often enough that it is held back, or once it came
 // to more workers than it may; not by what a few saw.
-func TestSettledOnceEitherWasSeen(t *testing.T) {
+func TestQuarantineDecided(t *testing.T) {
 	for _, c := range []struct {
-		arrivals, held int
-		settled        bool
-	}{{0, 0, false}, {deadlyLives, deadlyMore, false}, {deadlyLives, deadlyMore + 1, true}, {deadlyLives + deadlyMore, 0, false}, {deadlyLives + deadlyMore + 1, 0, true}} {
-		w := NewWatch(time.Second, 0)
-		deadlyArrivals(w, c.arrivals)
-		for range c.held {
-			w.DeadlyHeld("deadly 1")
+		arrivals, quarantined int
+		decided               bool
+	}{{0, 0, false}, {quarantineThreshold, maxExtraArrivals, false}, {quarantineThreshold, maxExtraArrivals + 1, true}, {quarantineThreshold + maxExtraArrivals, 0, false}, {quarantineThreshold + maxExtraArrivals + 1, 0, true}} {
+		w := NewWatcher(time.Second, 0)
+		recordFatalArrivals(w, c.arrivals)
+		for range c.quarantined {
+			w.RecordQuarantined("deadly 1")
 		}
-		if w.Settled("deadly 1") != c.settled || w.Settled("another") {
-			t.Errorf("%d arrivals, %d times held back: settled %v", c.arrivals, c.held, !c.settled)
+		if w.QuarantineDecided("deadly 1") != c.decided || w.QuarantineDecided("another") {
+			t.Errorf("%d arrivals, %d times held back: settled %v", c.arrivals, c.quarantined, !c.decided)
 		}
 	}
 }
 
-// TestLowerLimitBindsWholeWindows: a window that began before the older limit ended may still hold what that allowed.
-func TestLowerLimitBindsWholeWindows(t *testing.T) {
-	of := func(units float64) func(time.Duration) float64 { return func(time.Duration) float64 { return units } }
+// TestLowerLimitAppliesToWholeWindows: a window that began before the older limit ended may still hold what that allowed.
+func TestLowerLimitAppliesToWholeWindows(t *testing.T) {
+	constant := func(units float64) func(time.Duration) float64 { return func(time.Duration) float64 { return units } }
 	for _, c := range []struct {
 		at     time.Duration
 		broken int
 	}{{4 * time.Second, 0}, {7 * time.Second, 1}} {
-		w := NewWatch(time.Second, time.Second)
-		w.Limit("t", Allowance{Units: of(100)})
-		w.Limit("t", Allowance{From: 4 * time.Second, Units: of(10)})
-		w.Asked("a", false)
-		w.Ran(c.at, "a", "t", 50)
+		w := NewWatcher(time.Second, time.Second)
+		w.RecordLimit("t", TenantLimit{Units: constant(100)})
+		w.RecordLimit("t", TenantLimit{From: 4 * time.Second, Units: constant(10)})
+		w.RecordRequest("a", false)
+		w.RecordExecution(c.at, "a", "t", 50)
 		if broken := w.Close(); len(broken) != c.broken {
 			t.Errorf("at %v: %v", c.at, broken)
 		}
 	}
 }
 
-// proxied returns a connection through a proxy from "a" to "b", its far end, and the proxy.
-func proxied(t *testing.T) (p *Proxy, near, far net.Conn) {
+// openProxiedConnection returns a connection through a proxy from "a" to "b", its far end, and the proxy.
+func openProxiedConnection(t *testing.T) (p *Proxy, near, far net.Conn) {
 	t.Helper()
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -170,7 +181,7 @@
 	_ = free.Close()
 	p = NewProxy(func(net.Conn) string { return "a" })
 	t.Cleanup(p.Close)
-	if err := p.Carry(address, "b", target.Addr().String()); err != nil {
+	if err := p.Forward(address, "b", target.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	if near, err = net.Dial("tcp", address); err != nil {
@@ -194,29 +205,29 @@
 	}
 }
 
-// TestProxyCutsOneWay: what travels on a silent link is held, the other way goes on, and all arrives once it is healed.
-func TestProxyCutsOneWay(t *testing.T) {
-	p, near, far := proxied(t)
+// TestProxyBlocksOneDirection: what travels on a silent link is held, the other way goes on, and all arrives once it is healed.
+func TestProxyBlocksOneDirection(t *testing.T) {
+	p, near, far := openProxiedConnection(t)
 	send(t, near, far)
-	p.Silence(Link{"a", "b"})
+	p.Block(Link{"a", "b"})
 	send(t, far, near)
 	if _, err := io.WriteString(near, "y"); err != nil {
 		t.Fatal(err)
 	}
-	_ = far.SetReadDeadline(time.Now().Add(5 * heldPoll))
+	_ = far.SetReadDeadline(time.Now().Add(5 * blockedPollInterval))
 	if _, err := far.Read(make([]byte, 1)); err == nil {
 		t.Fatal("it passed a silent link")
 	}
 	_ = far.SetReadDeadline(time.Time{})
-	p.Heal(Link{"a", "b"})
+	p.Unblock(Link{"a", "b"})
 	if _, err := io.ReadFull(far, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestProxyResets both ends.
-func TestProxyResets(t *testing.T) {
-	p, near, far := proxied(t)
+// TestProxyResetsBothEnds both ends.
+func TestProxyResetsBothEnds(t *testing.T) {
+	p, near, far := openProxiedConnection(t)
 	send(t, near, far)
 	p.Reset("b", "a")
 	for _, end := range []net.Conn{near, far} {
@@ -226,8 +237,8 @@
 	}
 }
 
-// connected returns both ends of a connection that we opened: the opener's, and that which a listener accepted.
-func connected(t *testing.T) (opener, accepted net.Conn) {
+// openConnection returns both ends of a connection that we opened: the opener's, and that which a listener accepted.
+func openConnection(t *testing.T) (opener, accepted net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -245,47 +256,47 @@
 	return opener, accepted
 }
 
-// TestOwnerIsFoundBesideManySockets: what it costs to find who opened a connection does not grow with the machine's sockets. A proxy
+// TestOwnerCostIndependentOfSocketCount: what it costs to find who opened a connection does not grow with the machine's sockets. A proxy
 // that reads them all for each connection starves the processes under test beside whatever holds many.
-func TestOwnerIsFoundBesideManySockets(t *testing.T) {
+func TestOwnerCostIndependentOfSocketCount(t *testing.T) {
 	const others, runs = 200, 3
 	for range others {
-		connected(t)
+		openConnection(t)
 	}
-	_, near := connected(t)
-	if made := testing.AllocsPerRun(runs, func() { Owner(nil, near) }); made >= others {
-		t.Fatalf("%.0f allocations to find the owner of one connection beside %d others", made, others)
+	_, near := openConnection(t)
+	if allocs := testing.AllocsPerRun(runs, func() { Owner(nil, near) }); allocs >= others {
+		t.Fatalf("%.0f allocations to find the owner of one connection beside %d others", allocs, others)
 	}
 }
 
-// TestOwnerIsTheProcessOfAConnection: told by the kernel, for each end its own opener.
-func TestOwnerIsTheProcessOfAConnection(t *testing.T) {
+// TestSocketInodeIdentifiesEachEnd: told by the kernel, for each end its own opener.
+func TestSocketInodeIdentifiesEachEnd(t *testing.T) {
 	p := &Process{Name: "child", Args: []string{"/bin/sleep", "30"}, Log: filepath.Join(t.TempDir(), "log")}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer p.End(9)
-	opener, near := connected(t)
+	defer p.Stop(9)
+	opener, near := openConnection(t)
 	if name := Owner([]*Process{p}, near); name != "" {
 		t.Fatalf("a connection of ours is %q's", name)
 	}
-	inode := inodeOf(endOf(near.RemoteAddr()), endOf(near.LocalAddr()))
-	wanted := fmt.Sprintf("socket:[%d]", inode)
-	if inode == 0 || !holds(os.Getpid(), wanted) || holds(p.ID(), wanted) {
-		t.Fatalf("a connection of ours is not found: %s", wanted)
+	inode := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr()))
+	socket := fmt.Sprintf("socket:[%d]", inode)
+	if inode == 0 || !hasSocketOpen(os.Getpid(), socket) || hasSocketOpen(p.PID(), socket) {
+		t.Fatalf("a connection of ours is not found: %s", socket)
 	}
-	if other := inodeOf(endOf(opener.RemoteAddr()), endOf(opener.LocalAddr())); other == 0 || other == inode {
+	if other := socketInode(endpointOf(opener.RemoteAddr()), endpointOf(opener.LocalAddr())); other == 0 || other == inode {
 		t.Fatalf("both ends are socket %d", other)
 	}
 	_ = opener.Close()
 	_ = near.Close()
-	if left := inodeOf(endOf(near.RemoteAddr()), endOf(near.LocalAddr())); left != 0 {
-		t.Fatalf("a connection that has ended is socket %d", left)
+	if inode := socketInode(endpointOf(near.RemoteAddr()), endpointOf(near.LocalAddr())); inode != 0 {
+		t.Fatalf("a connection that has ended is socket %d", inode)
 	}
 }
 
-// TestOwnerNamesTheProcessThatOpened a connection to us, among several.
-func TestOwnerNamesTheProcessThatOpened(t *testing.T) {
+// TestOwnerReturnsDialingProcess a connection to us, among several.
+func TestOwnerReturnsDialingProcess(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -298,7 +309,7 @@
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		defer p.End(9)
+		defer p.Stop(9)
 	}
 	near, err := listener.Accept()
 	if err != nil {
