--- a/cmd/kitelab/load.go
+++ b/cmd/kitelab/load.go
@@ -16,18 +16,18 @@
 
 // loadFlags are the arguments of "kitelab load".
 type loadFlags struct {
-	deployment  string
-	routers     string
-	keys        string
-	backends    string
-	duration    time.Duration
-	rate        float64
-	seed        uint64
-	out         string
-	allowBroken bool
-	hangUps     bool
-	noService   bool
-	label       string
+	deployment     string
+	routers        string
+	keys           string
+	backends       string
+	duration       time.Duration
+	rate           float64
+	seed           uint64
+	out            string
+	allowBroken    bool
+	disconnects    bool
+	withoutService bool
+	label          string
 }
 
 func defineLoad() command {
@@ -42,8 +42,8 @@
 	sub.UInt64(&flags.seed, "s", "seed", "seed of the traffic")
 	sub.String(&flags.out, "o", "out", "file for the result as JSON")
 	sub.Bool(&flags.allowBroken, "", "allow-broken", "broken connections are expected: a process is killed on purpose")
-	sub.Bool(&flags.hangUps, "", "hang-ups", "some callers hang up")
-	sub.Bool(&flags.noService, "", "without-service", "send nothing to the small service")
+	sub.Bool(&flags.disconnects, "", "hang-ups", "some callers hang up")
+	sub.Bool(&flags.withoutService, "", "without-service", "send nothing to the small service")
 	sub.String(&flags.label, "", "label", "word before the last line")
 	return command{sub, flags.run}
 }
@@ -61,8 +61,8 @@
 	defer stop()
 	result, err := load.Run(ctx, load.Options{
 		Deployment: deployment, Routers: splitList(f.routers), Keys: splitList(f.keys), Backends: splitList(f.backends),
-		Duration: f.duration, Rate: f.rate, Seed: f.seed, AllowBroken: f.allowBroken, Progress: os.Stderr,
-		HangUps: f.hangUps, WithoutService: f.noService,
+		Duration: f.duration, Rate: f.rate, Seed: f.seed, AllowBrokenConnections: f.allowBroken, Progress: os.Stderr,
+		ClientDisconnects: f.disconnects, SkipService: f.withoutService,
 	})
 	if err != nil {
 		return err
@@ -72,8 +72,8 @@
 	}
 	printLoad(result)
 	fmt.Printf("%s: requests=%d complete=%d refused=%d lost=%d duplicated=%d out_of_order=%d wrong_answer=%d\n", f.label,
-		result.Requests, result.Complete, result.Refused, result.Lost, result.Duplicated, result.OutOfOrder, result.WrongAnswer)
-	if !result.Sound(f.allowBroken) {
+		result.Requests, result.Complete, result.Rejected, result.Lost, result.Duplicated, result.OutOfOrder, result.WrongAnswer)
+	if !result.Passed(f.allowBroken) {
 		return errViolation
 	}
 	return nil
@@ -98,7 +98,7 @@
 	}{{"time to first token", result.FirstTokens}, {"small service", result.Service}} {
 		fmt.Printf("%-22s %8d %9.1f %9.1f %9.1f %9.1f\n", row.name, row.q.Count, row.q.P50, row.q.P95, row.q.P99, row.q.Max)
 	}
-	fmt.Printf("errors=%d broken_connections=%d hung_up=%d false_not_run=%d\n", result.Errors, result.Broken, result.HungUp, result.FalseNotRun)
+	fmt.Printf("errors=%d broken_connections=%d hung_up=%d false_not_run=%d\n", result.ErrorEvents, result.BrokenConnections, result.ClientDisconnects, result.FalseNotRun)
 	for reason, count := range result.Reasons {
 		fmt.Printf("  refused as %s: %d\n", reason, count)
 	}
--- a/cmd/kitelab/soak.go
+++ b/cmd/kitelab/soak.go
@@ -19,13 +19,13 @@
 
 // soakFlags are the arguments of "kitelab soak".
 type soakFlags struct {
-	minutes  float64
-	seed     uint64
-	plan     string
-	keep     string
-	program  string
-	other    string
-	guardOff string
+	minutes      float64
+	seed         uint64
+	plan         string
+	keep         string
+	program      string
+	otherProgram string
+	guardOff     string
 }
 
 func defineSoak() command {
@@ -36,16 +36,16 @@
 	sub.String(&flags.plan, "p", "plan", "plan to play, instead of drawing one")
 	sub.String(&flags.keep, "k", "keep", "folder to keep plan, settings, data and logs in")
 	sub.String(&flags.program, "", "program", "kitetiller's program file")
-	sub.String(&flags.other, "o", "other-program", "program file of another build: half of the processes begin with it, and each start changes the build")
+	sub.String(&flags.otherProgram, "o", "other-program", "program file of another build: half of the processes begin with it, and each start changes the build")
 	sub.String(&flags.guardOff, "g", "guard-off", "break one promise on purpose (see docs/operations/soak.md), to see that its check fails")
 	return command{sub, flags.run}
 }
 
 func (f *soakFlags) run() error {
-	off := soak.Promise(f.guardOff)
-	able := []soak.Promise{soak.WithinLimit, soak.AtMostOnce, soak.OwnAnswer, soak.HeldBack, soak.NotForged, soak.RestGiven, soak.LeaveHeard, soak.LimitNamed, soak.ConfigKept}
-	if off != "" && !slices.Contains(able, off) {
-		return eris.Errorf("%q cannot be broken on purpose; %v can", f.guardOff, able)
+	breakPromise := soak.Guarantee(f.guardOff)
+	breakable := []soak.Guarantee{soak.WithinLimit, soak.AtMostOnce, soak.CorrectResponse, soak.QuarantineEnforced, soak.ForgedHeartbeatsIgnored, soak.BackoffRespected, soak.DrainRespected, soak.AdvertisedLimitRespected, soak.ConfigDurable}
+	if breakPromise != "" && !slices.Contains(breakable, breakPromise) {
+		return eris.Errorf("promise %q cannot be broken on purpose; supported: %v", f.guardOff, breakable)
 	}
 	if f.minutes <= 0 {
 		return eris.New("--minutes must be above 0")
@@ -57,17 +57,17 @@
 	fmt.Printf("seed %d, %.0f s\n", plan.Seed, plan.Length().Seconds())
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	broken, err := standin.Play(ctx, standin.Options{Program: f.program, Other: f.other, Plan: plan, Keep: f.keep, GuardOff: off, Out: os.Stdout})
+	violations, err := standin.Play(ctx, standin.Options{Program: f.program, OtherProgram: f.otherProgram, Plan: plan, Dir: f.keep, BreakPromise: breakPromise, Out: os.Stdout})
 	if err != nil {
 		return err
 	}
-	if len(broken) > 0 {
+	if len(violations) > 0 {
 		return errViolation
 	}
 	return nil
 }
 
-// readPlan reads the plan, or draws one.
+// readPlan reads the plan file, or generates a plan from the seed if no file is given.
 func (f *soakFlags) readPlan() (soak.Plan, error) {
 	if f.plan != "" {
 		return soak.Read(f.plan)
@@ -75,5 +75,5 @@
 	if f.seed == 0 {
 		f.seed = rand.Uint64()
 	}
-	return soak.Draw(f.seed, time.Duration(f.minutes*float64(time.Minute))), nil
+	return soak.Generate(f.seed, time.Duration(f.minutes*float64(time.Minute))), nil
 }
--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -8,54 +8,54 @@
 	"kitetiller/internal/guard"
 )
 
-// loadSamplesKept bounds the history from which lagging reports are taken.
-const loadSamplesKept = 64
+// maxLoadSamples bounds the history from which lagging reports are taken.
+const maxLoadSamples = 64
 
 // sampleLoad records the true load, at most every few milliseconds.
 func (m *Model) sampleLoad() {
-	if n := len(m.loads); n > 0 && m.now < m.loads[n-1].at+5*time.Millisecond {
+	if n := len(m.loadHistory); n > 0 && m.now < m.loadHistory[n-1].at+5*time.Millisecond {
 		return
 	}
-	m.loads = append(m.loads, loadSample{at: m.now, load: m.TrueLoad()})
-	if len(m.loads) > loadSamplesKept {
-		m.loads = m.loads[1:]
+	m.loadHistory = append(m.loadHistory, loadSample{at: m.now, load: m.CurrentLoad()})
+	if len(m.loadHistory) > maxLoadSamples {
+		m.loadHistory = m.loadHistory[1:]
 	}
 }
 
-// TrueLoad returns the load without lag.
-func (m *Model) TrueLoad() core.Load {
+// CurrentLoad returns the load without lag.
+func (m *Model) CurrentLoad() core.Load {
 	load := core.Load{
-		Running: len(m.running), Waiting: len(m.waiting), PrefillRate: m.rates.PrefillTokens, EvictionAge: m.cache.evictionAge(),
+		Running: len(m.running), Waiting: len(m.waiting), PrefillRate: m.rates.PrefillTokensPerSecond, EvictionAge: m.cache.evictionAge(),
 	}
-	count := func(tokens int, lane core.Lane) {
+	addTokens := func(tokens int, lane core.Lane) {
 		load.WaitingTokens += tokens
 		if lane == core.LaneInteractive {
 			load.InteractiveTokens += tokens
 		}
 	}
-	for _, held := range m.running {
-		count(held.toDo, held.job.Lane)
+	for _, seq := range m.running {
+		addTokens(seq.promptTokensLeft, seq.job.Lane)
 	}
-	for _, held := range m.waiting {
-		known := 0
-		if held.reuse {
-			known = m.cache.peek(held.job.Blocks) * m.blockTokens
+	for _, seq := range m.waiting {
+		cachedTokens := 0
+		if seq.reuse {
+			cachedTokens = m.cache.peek(seq.job.Blocks) * m.blockTokens
 		}
-		count(max(1, held.job.PromptTokens-known), held.job.Lane)
+		addTokens(max(1, seq.job.PromptTokens-cachedTokens), seq.job.Lane)
 	}
 	return load
 }
 
 // laggedLoad returns the newest load that is at least LoadLag old.
 func (m *Model) laggedLoad() core.Load {
-	for i := len(m.loads) - 1; i >= 0; i-- {
-		if age := m.now - m.loads[i].at; age >= m.rates.LoadLag || i == 0 {
-			load := m.loads[i].load
+	for i := len(m.loadHistory) - 1; i >= 0; i-- {
+		if age := m.now - m.loadHistory[i].at; age >= m.rates.LoadLag || i == 0 {
+			load := m.loadHistory[i].load
 			load.Age = age
 			return load
 		}
 	}
-	return m.TrueLoad()
+	return m.CurrentLoad()
 }
 
 // Report returns the answer to a state poll with the events after a sequence.
@@ -64,7 +64,7 @@
 	m.sampleLoad()
 	events, next := m.cache.eventsAfter(after, m.now-m.rates.EventLag)
 	return core.BackendReport{
-		Incarnation: m.Incarnation, Weights: m.Weights, Loading: m.loadEnds > 0, Leaving: m.leaving,
+		Incarnation: m.Incarnation, Weights: m.Weights, Loading: m.loadEndsAt > 0, Leaving: m.draining,
 		Load: m.laggedLoad(), Events: events, NextSequence: next,
 	}
 }
@@ -73,11 +73,11 @@
 func (m *Model) Fence() control.Fence { return m.fence }
 
 // Loading reports whether weights are being loaded.
-func (m *Model) Loading() bool { return m.loadEnds > 0 }
+func (m *Model) Loading() bool { return m.loadEndsAt > 0 }
 
-// Order takes a fenced call. It returns false when a higher fence was seen before, or the order was meant
+// HandleCall takes a fenced call. It returns false when a higher fence was seen before, or the order was meant
 // for an earlier life. loadTime is how long the weights take to load now.
-func (m *Model) Order(now time.Duration, call control.EngineCall, loadTime time.Duration) bool {
+func (m *Model) HandleCall(now time.Duration, call control.EngineCall, loadTime time.Duration) bool {
 	m.now = max(m.now, now)
 	if m.guards.On(guard.FenceCheck) && call.Fence.Less(m.fence) {
 		return false
@@ -86,40 +86,40 @@
 		return false
 	}
 	m.fence = call.Fence
-	if call.Order == nil || call.Order.Weights == m.Weights || m.loadEnds > 0 {
+	if call.Order == nil || call.Order.Weights == m.Weights || m.loadEndsAt > 0 {
 		return true
 	}
-	m.loading = call.Order.Weights
-	m.loadEnds = m.now + loadTime
+	m.loadingWeights = call.Order.Weights
+	m.loadEndsAt = m.now + loadTime
 	return true
 }
 
 // finishLoad puts new weights to use when they have arrived and no job runs on the old ones any more.
 func (m *Model) finishLoad() {
-	if m.loadEnds == 0 || m.now < m.loadEnds || m.Busy() > 0 {
+	if m.loadEndsAt == 0 || m.now < m.loadEndsAt || m.UnfinishedJobs() > 0 {
 		return
 	}
-	m.Weights = m.loading
-	m.loadEnds = 0
+	m.Weights = m.loadingWeights
+	m.loadEndsAt = 0
 }
 
-// FailLoad gives up a load whose weights could not be fetched; the old weights stay.
-func (m *Model) FailLoad() { m.loadEnds = 0 }
+// AbortLoad gives up a load whose weights could not be fetched; the old weights stay.
+func (m *Model) AbortLoad() { m.loadEndsAt = 0 }
 
-// LoadTime returns the time to load weights when count engines load at once and the store serves limit at
+// ContendedLoadTime returns the time to load weights when count engines load at once and the store serves limit at
 // full speed.
-func LoadTime(alone time.Duration, count, limit int) time.Duration {
-	if count <= limit {
-		return alone
+func ContendedLoadTime(uncontended time.Duration, count, fullSpeedLimit int) time.Duration {
+	if count <= fullSpeedLimit {
+		return uncontended
 	}
-	return time.Duration(float64(alone) * float64(count) / float64(limit))
+	return time.Duration(float64(uncontended) * float64(count) / float64(fullSpeedLimit))
 }
 
 // CompleteLoad ends a load whose length was not known in advance.
 func (m *Model) CompleteLoad(now time.Duration) {
 	m.now = max(m.now, now)
-	if m.loadEnds > 0 {
-		m.loadEnds = m.now
+	if m.loadEndsAt > 0 {
+		m.loadEndsAt = m.now
 		m.finishLoad()
 	}
 }
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -23,11 +23,11 @@
 // simRates are small and slow, so that a run needs few events.
 func simRates() engine.Rates {
 	rates := engine.DefaultRates()
-	rates.PrefillTokens, rates.ImportTokens = 400, 4000
+	rates.PrefillTokensPerSecond, rates.ImportTokensPerSecond = 400, 4000
 	rates.DecodeStep, rates.DecodePerSeq = 40*time.Millisecond, time.Millisecond
 	rates.ChunkTokens, rates.MaxBatch = 64, 8
-	rates.CacheBlocks, rates.CacheIdle = cacheBlocks, 8*time.Second
-	rates.EventLag, rates.EventLoss, rates.LoadLag = 200*time.Millisecond, eventLoss, 200*time.Millisecond
+	rates.CacheBlocks, rates.CacheIdleTimeout = cacheBlocks, 8*time.Second
+	rates.EventLag, rates.EventLossRatio, rates.LoadLag = 200*time.Millisecond, eventLoss, 200*time.Millisecond
 	return rates
 }
 
@@ -90,7 +90,7 @@
 	for _, output := range e.model.Advance(e.w.now()) {
 		e.output(output)
 	}
-	due, any := e.model.NextDue()
+	due, any := e.model.NextWakeup()
 	if any {
 		e.alarm.Set(e.w.now(), due, time.Microsecond, e.after, e.advance)
 	}
@@ -104,12 +104,12 @@
 	job := &engine.Job{
 		Attempt: action.Attempt, Origin: fmt.Sprintf("%s#%d", s.router.name, s.router.life), Tenant: s.request.job.tenant,
 		Blocks: action.Blocks, PromptTokens: s.request.promptTokens(), MaxTokens: action.MaxTokens, ResumeFrom: action.ResumeFrom,
-		Lane: action.Lane, Incarnation: action.Incarnation, Weights: action.Weights, RelyTokens: action.ExpectedCachedTokens,
+		Lane: action.Lane, Incarnation: action.Incarnation, Weights: action.Weights, ExpectedCachedTokens: action.ExpectedCachedTokens,
 		ImportFrom: action.ImportFrom, ImportBlocks: action.ImportBlocks, UserData: s,
 	}
 	e.advance()
 	result := e.model.Submit(e.w.now(), job)
-	if result == engine.Taken || result == engine.TakenWithoutReuse {
+	if result == engine.Accepted || result == engine.AcceptedWithoutReuse {
 		e.w.oracle.engineTook(e, job, s, result)
 		e.connect(s)
 	}
@@ -188,7 +188,7 @@
 	if other == nil || !other.up || other.frozen || e.w.isCut(e.process, other.process) {
 		return 0
 	}
-	held := other.model.Export(e.w.now(), chain)
+	held := other.model.ExportablePrefix(e.w.now(), chain)
 	for _, hash := range chain[:held] {
 		e.cached[hash] = other.cached[hash]
 	}
@@ -205,7 +205,7 @@
 			loading++
 		}
 	}
-	accepted := e.model.Order(e.w.now(), call, engine.LoadTime(weightsLoad, loading, loadsAtOnce))
+	accepted := e.model.HandleCall(e.w.now(), call, engine.ContendedLoadTime(weightsLoad, loading, loadsAtOnce))
 	if call.Order != nil {
 		e.w.logf("%s is ordered to load %s by %d/%d: accepted=%v", e.name, call.Order.Weights, call.Fence.Term, call.Fence.Sequence, accepted)
 	}
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -15,50 +15,50 @@
 
 // The kinds of faults.
 const (
-	KillGateway   Kind = "kill-gateway"
-	PauseGateway  Kind = "pause-gateway"
-	StopGateway   Kind = "stop-gateway" // a planned stop
-	KillControl   Kind = "kill-control"
-	PauseLeader   Kind = "pause-leader"
-	KillAll       Kind = "kill-all"   // gateways and control
-	CutLeader     Kind = "cut-leader" // from everybody
-	CutOneWay     Kind = "cut-one-way"
-	CutGateway    Kind = "cut-gateway" // from control
-	DelayLinks    Kind = "delay-links"
-	ResetLinks    Kind = "reset-links"
-	ResetControl  Kind = "reset-control" // connections between control processes, in series
-	KillWorker    Kind = "kill-worker"
-	HotTenant     Kind = "hot-tenant"
-	LowerLimit    Kind = "lower-limit"
-	ChangeSetting Kind = "change-setting" // a document that changes nothing that matters
-	Reload        Kind = "reload"         // processes are told to read their settings again, also in a planned stop
-	DeadlyRequest Kind = "deadly-request" // one that ends each worker that begins to run it comes again and again
-	ShedWorkers   Kind = "shed-workers"   // workers turn every request away and ask for rest
-	LeaveWorker   Kind = "leave-worker"   // a worker says in its answers that it leaves, while its heartbeats say that it is ready
-	NeedWorkers   Kind = "need-workers"   // workers name a limit of requests in their answers
-	ForgedBeats   Kind = "forged-beats"   // another writer sends heartbeats that can't be read in full
+	KillGateway      Kind = "kill-gateway"
+	PauseGateway     Kind = "pause-gateway"
+	StopGateway      Kind = "stop-gateway" // a planned stop
+	KillControl      Kind = "kill-control"
+	PauseLeader      Kind = "pause-leader"
+	KillAll          Kind = "kill-all"   // gateways and control
+	CutLeader        Kind = "cut-leader" // from everybody
+	CutOneWay        Kind = "cut-one-way"
+	CutGateway       Kind = "cut-gateway" // from control
+	DelayLinks       Kind = "delay-links"
+	ResetLinks       Kind = "reset-links"
+	ResetControl     Kind = "reset-control" // connections between control processes, in series
+	KillWorker       Kind = "kill-worker"
+	HotTenant        Kind = "hot-tenant"
+	LowerLimit       Kind = "lower-limit"
+	ChangeSetting    Kind = "change-setting" // a document that changes nothing that matters
+	Reload           Kind = "reload"         // processes are told to read their settings again, also in a planned stop
+	FatalRequest     Kind = "deadly-request" // one that ends each worker that begins to run it comes again and again
+	RejectRequests   Kind = "shed-workers"   // workers turn every request away and ask for rest
+	DrainWorker      Kind = "leave-worker"   // a worker says in its answers that it leaves, while its heartbeats say that it is ready
+	AdvertiseLimits  Kind = "need-workers"   // workers name a limit of requests in their answers
+	ForgedHeartbeats Kind = "forged-beats"   // another writer sends heartbeats that can't be read in full
 )
 
 // Kinds lists every kind in a fixed order.
 func Kinds() []Kind {
 	return []Kind{
 		KillGateway, PauseGateway, StopGateway, KillControl, PauseLeader, KillAll, CutLeader, CutOneWay, CutGateway, DelayLinks, ResetLinks, ResetControl,
-		KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, DeadlyRequest, ForgedBeats,
-		ShedWorkers, LeaveWorker, NeedWorkers,
+		KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, FatalRequest, ForgedHeartbeats,
+		RejectRequests, DrainWorker, AdvertiseLimits,
 	}
 }
 
 // Disturbs reports whether a fault strikes the system's own processes or their links.
 func (k Kind) Disturbs() bool {
 	switch k {
-	case KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, DeadlyRequest, ForgedBeats, ShedWorkers, LeaveWorker, NeedWorkers:
+	case KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, FatalRequest, ForgedHeartbeats, RejectRequests, DrainWorker, AdvertiseLimits:
 		return false
 	}
 	return true
 }
 
-// Bunches reports whether a fault may hold requests up between processes, or in one, so that they come together at its end.
-func (k Kind) Bunches() bool {
+// CausesBursts reports whether a fault may hold requests up between processes, or in one, so that they come together at its end.
+func (k Kind) CausesBursts() bool {
 	switch k {
 	case PauseGateway, CutOneWay, DelayLinks, ResetLinks:
 		return true
@@ -66,8 +66,8 @@
 	return false
 }
 
-// hotShare is how often a drawn fault is a hot tenant, whatever else there is: without one no limit is ever reached.
-const hotShare = 0.2
+// hotTenantFraction is how often a drawn fault is a hot tenant, whatever else there is: without one no limit is ever reached.
+const hotTenantFraction = 0.2
 
 // Fault is one thing that goes wrong, or that an operator does.
 type Fault struct {
@@ -94,27 +94,27 @@
 func (p Plan) Length() time.Duration { return time.Duration(p.LengthMS) * time.Millisecond }
 
 const (
-	// calmStart and calmEnd are without new faults: until everything runs, and until service must be back.
-	calmStart = 4 * time.Second
-	calmEnd   = 16 * time.Second
-	// pauseMost is the longest time between two faults; one in three comes while the one before it lasts.
-	pauseMost = 3 * time.Second
-	faultMost = 5 * time.Second
+	// warmUp and calmEnd are without new faults: until everything runs, and until service must be back.
+	warmUp         = 4 * time.Second
+	recoveryPeriod = 16 * time.Second
+	// maxGap is the longest time between two faults; one in three comes while the one before it lasts.
+	maxGap           = 3 * time.Second
+	maxFaultDuration = 5 * time.Second
 )
 
-// Draw draws a plan of a length from a seed.
-func Draw(seed uint64, length time.Duration) Plan {
+// Generate draws a plan of a length from a seed.
+func Generate(seed uint64, length time.Duration) Plan {
 	random := rand.New(rand.NewPCG(seed, seed))
 	plan := Plan{Seed: seed, LengthMS: length.Milliseconds()}
 	kinds := Kinds()
-	for at := calmStart; at < length-calmEnd; at += time.Duration(random.Int64N(int64(pauseMost))) {
-		lasts := 200*time.Millisecond + time.Duration(random.Int64N(int64(faultMost)))
-		lasts = min(lasts, length-calmEnd-at+time.Second)
+	for at := warmUp; at < length-recoveryPeriod; at += time.Duration(random.Int64N(int64(maxGap))) {
+		duration := 200*time.Millisecond + time.Duration(random.Int64N(int64(maxFaultDuration)))
+		duration = min(duration, length-recoveryPeriod-at+time.Second)
 		kind := kinds[random.IntN(len(kinds))]
-		if random.Float64() < hotShare {
+		if random.Float64() < hotTenantFraction {
 			kind = HotTenant
 		}
-		plan.Faults = append(plan.Faults, Fault{AtMS: at.Milliseconds(), ForMS: lasts.Milliseconds(), Kind: kind, Target: random.IntN(64)})
+		plan.Faults = append(plan.Faults, Fault{AtMS: at.Milliseconds(), ForMS: duration.Milliseconds(), Kind: kind, Target: random.IntN(64)})
 	}
 	return plan
 }
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// restMost is how many requests may still reach a back end in its rest from a process that was seen to have heard of it.
-	restMost = 2
-	// leaveFree is how long after it was seen to have heard that a back end leaves a process may still take requests that go there.
-	leaveFree = 500 * time.Millisecond
+	// maxBackoffRequests is how many requests may still reach a back end in its rest from a process that was seen to have heard of it.
+	maxBackoffRequests = 2
+	// drainPropagationDelay is how long after it was seen to have heard that a back end leaves a process may still take requests that go there.
+	drainPropagationDelay = 500 * time.Millisecond
 )
 
 // Sender is one life of a process that passes requests on.
@@ -15,114 +15,116 @@
 	Process int // its number; another life has another one
 }
 
-// sent is a request that a caller sent to a process.
-type sent struct {
+// sentRequest is a request that a caller sentRequest to a process.
+type sentRequest struct {
 	by Sender
 	at time.Duration
 }
 
-// word is what one life of a back end said of itself in one answer.
-type word struct {
-	life    string
-	until   time.Duration // end of the rest that it asked for
-	leaving bool
-	need    *inNeed       // in which it names a limit, or nil
-	shown   time.Duration // when it was seen that the process had heard of it; 0 not yet
-	got     int           // requests that came in the rest although they were sent after that
+// signal is what one life of a back end said of itself in one answer.
+type signal struct {
+	incarnation  string
+	backoffUntil time.Duration // end of the rest that it asked for
+	draining     bool
+	limit        *advertisedLimit // in which it names a limit, or nil
+	confirmedAt  time.Duration    // when it was seen that the process had heard of it; 0 not yet
+	received     int              // requests that came in the rest although they were sent after that
 }
 
-// said is what back ends said of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
+// signalLog is what back ends signalLog of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
 // and whoever reads it changes no verdict, since only what a caller sent after the process had shown that it knows counts.
-type said struct {
-	sent  map[string]sent    // by request
-	words map[Sender][]*word // by who heard them
-	open  map[string][]*word // by request: words in its answers that the process hasn't shown yet to have heard
-	needs map[string]*inNeed // by life, the newest
+type signalLog struct {
+	sent        map[string]sentRequest      // by request
+	byReceiver  map[Sender][]*signal        // by who heard them
+	unconfirmed map[string][]*signal        // by request: words in its answers that the process hasn't shown yet to have heard
+	limits      map[string]*advertisedLimit // by life, the newest
 }
 
-func newSaid() said {
-	return said{sent: map[string]sent{}, words: map[Sender][]*word{}, open: map[string][]*word{}, needs: map[string]*inNeed{}}
+func newSignalLog() signalLog {
+	return signalLog{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*signal{}, unconfirmed: map[string][]*signal{}, limits: map[string]*advertisedLimit{}}
 }
 
-// Sent notes that a caller is about to send a request to a process.
-func (w *Watch) Sent(at time.Duration, id string, by Sender) {
+// RecordSent notes that a caller is about to send a request to a process.
+func (w *Watcher) RecordSent(at time.Duration, id string, by Sender) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.said.sent[id] = sent{by, at}
+	w.signals.sent[id] = sentRequest{by, at}
 }
 
-// AskedRest notes that a life of a back end answered a request with the wish for rest.
-func (w *Watch) AskedRest(at time.Duration, id, life string, rest time.Duration) {
-	w.say(id, &word{life: life, until: at + rest})
+// RecordBackoff notes that a life of a back end answered a request with the wish for rest.
+func (w *Watcher) RecordBackoff(at time.Duration, id, incarnation string, backoff time.Duration) {
+	w.addSignal(id, &signal{incarnation: incarnation, backoffUntil: at + backoff})
 }
 
-// SaidLeaving notes that a life of a back end said in its answer to a request that it leaves.
-func (w *Watch) SaidLeaving(id, life string) { w.say(id, &word{life: life, leaving: true}) }
+// RecordDraining notes that a life of a back end said in its answer to a request that it leaves.
+func (w *Watcher) RecordDraining(id, incarnation string) {
+	w.addSignal(id, &signal{incarnation: incarnation, draining: true})
+}
 
-func (w *Watch) say(id string, told *word) {
+func (w *Watcher) addSignal(id string, s *signal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	request, known := w.said.sent[id]
+	request, known := w.signals.sent[id]
 	if !known {
 		return
 	}
-	if told.need == nil {
-		w.said.words[request.by] = append(w.said.words[request.by], told)
+	if s.limit == nil {
+		w.signals.byReceiver[request.by] = append(w.signals.byReceiver[request.by], s)
 	}
-	w.said.open[id] = append(w.said.open[id], told)
+	w.signals.unconfirmed[id] = append(w.signals.unconfirmed[id], s)
 }
 
-// Shown notes that a caller has the head of its answer, so that the process has read all answers that it got to the request before.
-func (w *Watch) Shown(at time.Duration, id string) {
+// RecordResponseHead notes that a caller has the head of its answer, so that the process has read all answers that it got to the request before.
+func (w *Watcher) RecordResponseHead(at time.Duration, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.show(at, id, "")
+	w.confirm(at, id, "")
 }
 
-// show ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
-func (w *Watch) show(at time.Duration, id, except string) {
-	var left []*word
-	for _, told := range w.said.open[id] {
-		if told.life == except {
-			left = append(left, told)
+// confirm ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
+func (w *Watcher) confirm(at time.Duration, id, exceptIncarnation string) {
+	var remaining []*signal
+	for _, s := range w.signals.unconfirmed[id] {
+		if s.incarnation == exceptIncarnation {
+			remaining = append(remaining, s)
 			continue
 		}
-		told.shown = at
-		if told.need == nil {
+		s.confirmedAt = at
+		if s.limit == nil {
 			continue
 		}
-		if by := w.said.sent[id].by; told.need.heard[by] == 0 {
-			told.need.heard[by] = at
+		if by := w.signals.sent[id].by; s.limit.observedAt[by] == 0 {
+			s.limit.observedAt[by] = at
 		}
 	}
-	if left == nil {
-		delete(w.said.open, id)
+	if remaining == nil {
+		delete(w.signals.unconfirmed, id)
 		return
 	}
-	w.said.open[id] = left
+	w.signals.unconfirmed[id] = remaining
 }
 
-// Reached notes that a request came to a life of a back end.
-func (w *Watch) Reached(at time.Duration, id, life string) {
+// RecordArrival notes that a request came to a life of a back end.
+func (w *Watcher) RecordArrival(at time.Duration, id, incarnation string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	request, known := w.said.sent[id]
+	request, known := w.signals.sent[id]
 	if !known {
 		return
 	}
-	w.show(at, id, life)
-	w.reachedInNeed(at, request, life)
-	for _, told := range w.said.words[request.by] {
-		if told.life != life || told.shown == 0 || request.at <= told.shown {
+	w.confirm(at, id, incarnation)
+	w.checkAdvertisedLimit(at, request, incarnation)
+	for _, s := range w.signals.byReceiver[request.by] {
+		if s.incarnation != incarnation || s.confirmedAt == 0 || request.at <= s.confirmedAt {
 			continue
 		}
-		if at < told.until {
-			if told.got++; told.got == restMost+1 {
-				w.fail(RestGiven, "%s got more than %d requests from %s in a rest that ends %v later", life, restMost, request.by.Name, told.until-at)
+		if at < s.backoffUntil {
+			if s.received++; s.received == maxBackoffRequests+1 {
+				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", incarnation, maxBackoffRequests, request.by.Name, s.backoffUntil-at)
 			}
 		}
-		if told.leaving && request.at > told.shown+leaveFree {
-			w.fail(LeaveHeard, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", life, request.by.Name, request.at-told.shown)
+		if s.draining && request.at > s.confirmedAt+drainPropagationDelay {
+			w.addViolation(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", incarnation, request.by.Name, request.at-s.confirmedAt)
 		}
 	}
 }
--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -17,13 +17,13 @@
 
 // ServiceConfig is what a small service process needs to start.
 type ServiceConfig struct {
-	Name        string
-	Zone        string
-	Service     string
-	Listen      string
-	ServiceTime time.Duration
-	DropAfter   float64 // share of requests that run and then lose their connection
-	DropBefore  float64 // share of requests that are read and dropped without running
+	Name            string
+	Zone            string
+	Service         string
+	Listen          string
+	ServiceTime     time.Duration
+	DropAfterRatio  float64 // share of requests that run and then lose their connection
+	DropBeforeRatio float64 // share of requests that are read and dropped without running
 }
 
 // Service is a small back end whose requests may not be repeated. It remembers every run.
@@ -32,10 +32,10 @@
 	log         *zap.Logger
 	incarnation uint64
 
-	mutex   sync.Mutex
-	runs    []api.RunRecord
-	running int
-	leaving bool
+	mutex    sync.Mutex
+	runs     []api.RunRecord
+	running  int
+	draining bool
 }
 
 // NewService returns a service that has run nothing yet.
@@ -49,7 +49,7 @@
 	mux.HandleFunc("POST "+api.PathRun, s.serveRun)
 	mux.HandleFunc("GET "+api.PathState, s.serveState)
 	mux.HandleFunc("GET "+api.PathRuns, s.serveRuns)
-	mux.HandleFunc("POST /v1/leave", s.serveLeave)
+	mux.HandleFunc("POST /v1/leave", s.serveDrain)
 	return serve(ctx, s.config.Listen, mux, s.log)
 }
 
@@ -58,27 +58,27 @@
 	if !readJSON(w, r, &request) {
 		return
 	}
-	if rand.Float64() < s.config.DropBefore {
+	if rand.Float64() < s.config.DropBeforeRatio {
 		panic(http.ErrAbortHandler) // the connection dies after the request was read
 	}
-	if !s.begin(request) {
+	if !s.beginRun(request) {
 		writeJSON(w, http.StatusServiceUnavailable, api.BackendRejection{Run: core.RunNot, Draining: true})
 		return
 	}
 	time.Sleep(s.config.ServiceTime)
-	s.end()
-	if rand.Float64() < s.config.DropAfter {
+	s.endRun()
+	if rand.Float64() < s.config.DropAfterRatio {
 		panic(http.ErrAbortHandler) // it ran, but the answer is lost
 	}
-	answer := ledger.Response{Status: http.StatusOK, ContentType: "application/json", Body: ServiceAnswer(request.Body)}
-	writeJSON(w, http.StatusOK, api.RunResponse{Attempt: request.Attempt, Response: answer})
+	response := ledger.Response{Status: http.StatusOK, ContentType: "application/json", Body: ServiceResponse(request.Body)}
+	writeJSON(w, http.StatusOK, api.RunResponse{Attempt: request.Attempt, Response: response})
 }
 
-// begin records a run, unless the service is leaving.
-func (s *Service) begin(request api.RunRequest) bool {
+// beginRun records a run, unless the service is leaving.
+func (s *Service) beginRun(request api.RunRequest) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.leaving {
+	if s.draining {
 		return false
 	}
 	s.running++
@@ -89,7 +89,7 @@
 	return true
 }
 
-func (s *Service) end() {
+func (s *Service) endRun() {
 	s.mutex.Lock()
 	s.running--
 	s.mutex.Unlock()
@@ -102,16 +102,16 @@
 	writeJSON(w, http.StatusOK, runs)
 }
 
-func (s *Service) serveLeave(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) serveDrain(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
-	s.leaving = true
+	s.draining = true
 	s.mutex.Unlock()
 	w.WriteHeader(http.StatusOK)
 }
 
 func (s *Service) serveState(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
-	report := core.BackendReport{Incarnation: s.incarnation, Leaving: s.leaving, Load: core.Load{Running: s.running}}
+	report := core.BackendReport{Incarnation: s.incarnation, Leaving: s.draining, Load: core.Load{Running: s.running}}
 	s.mutex.Unlock()
 	writeJSON(w, http.StatusOK, api.StateReply{Report: report, Engine: control.EngineReport{
 		Name: s.config.Name, Zone: s.config.Zone, Service: s.config.Service, Address: s.config.Listen, Incarnation: s.incarnation,
