--- a/cmd/kitelab/standins.go
+++ b/cmd/kitelab/standins.go
@@ -17,7 +17,7 @@
 	"kitetiller/internal/settings"
 )
 
-// standinFlags are what every stand-in process takes.
+// standinFlags are the flags common to all stand-in processes.
 type standinFlags struct {
 	name       string
 	zone       string
@@ -37,7 +37,7 @@
 	Run(ctx context.Context) error
 }
 
-// serve loads the deployment, makes the stand-in and runs it until a stop signal.
+// serve loads the deployment, creates the stand-in and runs it until a stop signal arrives.
 func (f *standinFlags) serve(kind string, build func(*plan.Deployment, *zap.Logger) (runner, error)) error {
 	if f.listen == "" || f.deployment == "" {
 		return eris.New("--listen and --deployment are needed")
@@ -79,7 +79,7 @@
 	}}
 }
 
-// blockTokens is the block length of local fleets: the default of node files.
+// blockTokens is the number of tokens in a cache block of local fleets, as in the default of node files.
 const blockTokens = 64
 
 func defineBackend() command {
@@ -93,7 +93,7 @@
 		return flags.serve("backend", func(d *plan.Deployment, log *zap.Logger) (runner, error) {
 			return standin.NewService(standin.ServiceConfig{
 				Name: flags.name, Zone: flags.zone, Service: d.Small.Name, Listen: flags.listen,
-				ServiceTime: d.Small.ServiceTime, DropAfter: dropAfter, DropBefore: dropBefore,
+				ServiceTime: d.Small.ServiceTime, DropAfterRatio: dropAfter, DropBeforeRatio: dropBefore,
 			}, log), nil
 		})
 	}}
@@ -105,7 +105,7 @@
 	flags.attach(sub)
 	return command{sub, func() error {
 		return flags.serve("vault", func(d *plan.Deployment, log *zap.Logger) (runner, error) {
-			return standin.NewVault(standin.VaultConfig{Listen: flags.listen, Blocks: d.Vault.Blocks}, log), nil
+			return standin.NewVault(standin.VaultConfig{Listen: flags.listen, MaxBlocks: d.Vault.Blocks}, log), nil
 		})
 	}}
 }
@@ -116,8 +116,8 @@
 	flags.attach(sub)
 	return command{sub, func() error {
 		return flags.serve("weights", func(d *plan.Deployment, log *zap.Logger) (runner, error) {
-			return standin.NewWeights(standin.WeightsConfig{
-				Listen: flags.listen, LoadTime: d.Weights.LoadTime, Concurrent: d.Weights.MaxConcurrent,
+			return standin.NewWeightStore(standin.WeightStoreConfig{
+				Listen: flags.listen, LoadTime: d.Weights.LoadTime, FullSpeedLimit: d.Weights.MaxConcurrent,
 			}, log), nil
 		})
 	}}
@@ -151,7 +151,7 @@
 	sub.String(&data, "d", "data", "folder for node files, logs and data")
 	sub.Int(&spares, "", "spares", "spare control replicas")
 	return command{sub, func() error {
-		if err := checkTree(deployment); err != nil {
+		if err := validateSettings(deployment); err != nil {
 			return err
 		}
 		layout, err := fleet.Create(deployment, data, spares)
@@ -162,8 +162,8 @@
 	}}
 }
 
-// checkTree refuses a deployment whose tree could not be accepted later.
-func checkTree(path string) error {
+// validateSettings rejects a deployment file whose settings tree control would not accept.
+func validateSettings(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return eris.Wrapf(err, "read %s", path)
--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -172,21 +172,21 @@
 func (p clairvoyantPlacer) correct(context core.PlacementContext, candidate *core.Candidate, source string, deepest int) {
 	node := p.run.engines[candidate.Engine]
 	rates := p.run.rates
-	held := node.model.Holds(context.Request.Chains[0].Blocks)
+	held := node.model.CachedPrefix(context.Request.Chains[0].Blocks)
 	compute := p.tokensLeft(context.Request, held)
 	copied, displaced := time.Duration(0), time.Duration(0)
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
 	if deepest > held && source != node.name {
 		moved := (deepest - held) * p.run.options.grain()
-		whole := seconds(float64(moved)/rates.ImportTokens) + seconds(float64(p.tokensLeft(context.Request, deepest))/rates.PrefillTokens)
-		if whole < seconds(float64(compute)/rates.PrefillTokens) {
+		whole := seconds(float64(moved)/rates.ImportTokensPerSecond) + seconds(float64(p.tokensLeft(context.Request, deepest))/rates.PrefillTokensPerSecond)
+		if whole < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
 			candidate.ImportBlocks, candidate.ImportFrom = deepest, source
-			compute, copied = p.tokensLeft(context.Request, deepest), seconds(float64(moved)/rates.ImportTokens)
-			displaced = seconds(core.DisplacedFraction * float64(moved) / rates.PrefillTokens)
+			compute, copied = p.tokensLeft(context.Request, deepest), seconds(float64(moved)/rates.ImportTokensPerSecond)
+			displaced = seconds(core.DisplacedFraction * float64(moved) / rates.PrefillTokensPerSecond)
 		}
 	}
-	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokens)
-	work := seconds(float64(compute) / rates.PrefillTokens)
+	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokensPerSecond)
+	work := seconds(float64(compute) / rates.PrefillTokensPerSecond)
 	candidate.Cached, candidate.Uncached = held*p.run.options.grain(), compute
 	candidate.Predicted = wait + work + copied
 	candidate.Cost = context.Values.TimeWeight*candidate.Predicted.Seconds() + context.Values.RecomputeWeight*(work+displaced).Seconds()
--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -9,15 +9,15 @@
 	"kitetiller/internal/prefix"
 )
 
-// eventsKept bounds the events that a router can still ask for; older ones show as a gap.
-const eventsKept = 4096
+// maxEvents bounds the events that a router can still ask for; older ones show as a gap.
+const maxEvents = 4096
 
 // block is one cached block. Blocks in use by running sequences are pinned.
 type block struct {
 	hash     prefix.Hash
 	lastUsed time.Duration
 	pins     int
-	place    *list.Element
+	element  *list.Element
 }
 
 // timedEvent is a cache event and when it happened.
@@ -32,13 +32,13 @@
 // Invariant: of one chain, deeper blocks are never fresher than shallower ones, so chains are evicted from
 // their end.
 type cache struct {
-	rates    Rates
-	random   *rand.Rand
-	blocks   map[prefix.Hash]*block
-	order    *list.List // front is the oldest
-	sequence uint64
-	events   []timedEvent
-	lastAge  time.Duration // age of the block evicted last
+	rates           Rates
+	random          *rand.Rand
+	blocks          map[prefix.Hash]*block
+	order           *list.List // front is the oldest
+	sequence        uint64
+	events          []timedEvent
+	lastEvictionAge time.Duration // age of the block evicted last
 }
 
 func newCache(rates Rates, random *rand.Rand) *cache {
@@ -64,25 +64,25 @@
 
 func (c *cache) touch(chain []prefix.Hash, now time.Duration) {
 	for i := len(chain) - 1; i >= 0; i-- {
-		if held := c.blocks[chain[i]]; held != nil {
-			held.lastUsed = now
-			c.order.MoveToBack(held.place)
+		if cached := c.blocks[chain[i]]; cached != nil {
+			cached.lastUsed = now
+			c.order.MoveToBack(cached.element)
 		}
 	}
 }
 
 func (c *cache) pin(chain []prefix.Hash) {
 	for _, hash := range chain {
-		if held := c.blocks[hash]; held != nil {
-			held.pins++
+		if cached := c.blocks[hash]; cached != nil {
+			cached.pins++
 		}
 	}
 }
 
 func (c *cache) unpin(chain []prefix.Hash, now time.Duration) {
 	for _, hash := range chain {
-		if held := c.blocks[hash]; held != nil && held.pins > 0 {
-			held.pins--
+		if cached := c.blocks[hash]; cached != nil && cached.pins > 0 {
+			cached.pins--
 		}
 	}
 	c.touch(chain, now)
@@ -102,9 +102,9 @@
 			}
 			evicted = append(evicted, victim.hash)
 		}
-		fresh := &block{hash: hash, lastUsed: now}
-		fresh.place = c.order.PushBack(fresh)
-		c.blocks[hash] = fresh
+		added := &block{hash: hash, lastUsed: now}
+		added.element = c.order.PushBack(added)
+		c.blocks[hash] = added
 		stored = append(stored, hash)
 	}
 	c.touch(chain, now)
@@ -112,38 +112,38 @@
 }
 
 func (c *cache) evictOldest(now time.Duration) *block {
-	for place := c.order.Front(); place != nil; place = place.Next() {
-		held := place.Value.(*block)
-		if held.pins > 0 {
+	for element := c.order.Front(); element != nil; element = element.Next() {
+		oldest := element.Value.(*block)
+		if oldest.pins > 0 {
 			continue
 		}
-		c.lastAge = now - held.lastUsed
-		c.remove(held)
-		return held
+		c.lastEvictionAge = now - oldest.lastUsed
+		c.remove(oldest)
+		return oldest
 	}
 	return nil
 }
 
-func (c *cache) remove(held *block) {
-	c.order.Remove(held.place)
-	delete(c.blocks, held.hash)
+func (c *cache) remove(cached *block) {
+	c.order.Remove(cached.element)
+	delete(c.blocks, cached.hash)
 }
 
 // expire evicts blocks that were not used for long.
 func (c *cache) expire(now time.Duration) {
-	if c.rates.CacheIdle <= 0 {
+	if c.rates.CacheIdleTimeout <= 0 {
 		return
 	}
 	var evicted []prefix.Hash
-	for place := c.order.Front(); place != nil; {
-		held := place.Value.(*block)
-		if now-held.lastUsed < c.rates.CacheIdle {
+	for element := c.order.Front(); element != nil; {
+		oldest := element.Value.(*block)
+		if now-oldest.lastUsed < c.rates.CacheIdleTimeout {
 			break
 		}
-		place = place.Next()
-		if held.pins == 0 {
-			c.remove(held)
-			evicted = append(evicted, held.hash)
+		element = element.Next()
+		if oldest.pins == 0 {
+			c.remove(oldest)
+			evicted = append(evicted, oldest.hash)
 		}
 	}
 	c.publish(now, nil, evicted)
@@ -151,13 +151,13 @@
 
 // evictionAge estimates how long an unused block stays.
 func (c *cache) evictionAge() time.Duration {
-	if c.lastAge > 0 && len(c.blocks) >= c.rates.CacheBlocks*9/10 {
-		if c.rates.CacheIdle > 0 {
-			return min(c.lastAge, c.rates.CacheIdle)
+	if c.lastEvictionAge > 0 && len(c.blocks) >= c.rates.CacheBlocks*9/10 {
+		if c.rates.CacheIdleTimeout > 0 {
+			return min(c.lastEvictionAge, c.rates.CacheIdleTimeout)
 		}
-		return c.lastAge
+		return c.lastEvictionAge
 	}
-	return c.rates.CacheIdle
+	return c.rates.CacheIdleTimeout
 }
 
 // publish records a cache event; some are lost on the way.
@@ -165,13 +165,13 @@
 	if len(stored) == 0 && len(evicted) == 0 {
 		return
 	}
-	lost := c.random.Float64() < c.rates.EventLoss
+	lost := c.random.Float64() < c.rates.EventLossRatio
 	c.events = append(c.events, timedEvent{
 		at: now, lost: lost, event: core.CacheEvent{Sequence: c.sequence, Stored: stored, Evicted: evicted},
 	})
 	c.sequence++
-	if len(c.events) > eventsKept {
-		c.events = append([]timedEvent(nil), c.events[len(c.events)-eventsKept/2:]...)
+	if len(c.events) > maxEvents {
+		c.events = append([]timedEvent(nil), c.events[len(c.events)-maxEvents/2:]...)
 	}
 }
 
@@ -186,22 +186,22 @@
 	if len(c.events) > 0 && next > c.events[0].event.Sequence {
 		start = int(min(next-c.events[0].event.Sequence, uint64(len(c.events))))
 	}
-	for _, held := range c.events[start:] {
-		if held.at > by {
+	for _, recorded := range c.events[start:] {
+		if recorded.at > by {
 			break
 		}
-		next = held.event.Sequence + 1
-		if !held.lost {
-			found = append(found, held.event)
+		next = recorded.event.Sequence + 1
+		if !recorded.lost {
+			found = append(found, recorded.event)
 		}
 	}
 	return found, next
 }
 
-func (c *cache) list() []prefix.Hash {
+func (c *cache) blockHashes() []prefix.Hash {
 	hashes := make([]prefix.Hash, 0, len(c.blocks))
-	for place := c.order.Front(); place != nil; place = place.Next() {
-		hashes = append(hashes, place.Value.(*block).hash)
+	for element := c.order.Front(); element != nil; element = element.Next() {
+		hashes = append(hashes, element.Value.(*block).hash)
 	}
 	return hashes
 }
--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -19,30 +19,30 @@
 )
 
 const (
-	resendTries = 6
-	resendPause = 300 * time.Millisecond
-	runsTimeout = 5 * time.Second
+	maxServiceAttempts = 6
+	retryDelay         = 300 * time.Millisecond
+	runsTimeout        = 5 * time.Second
 )
 
-// smallService sends a non-repeatable request, sometimes twice at once to two routers, and sends it again
+// sendServiceRequest sends a non-repeatable request, sometimes twice at once to two routers, and sends it again
 // with the same key while its result is not known.
-func (r *runner) smallService(ctx context.Context, number int, random *rand.Rand) {
+func (r *runner) sendServiceRequest(ctx context.Context, number int, random *rand.Rand) {
 	idempotencyKey := fmt.Sprintf("load-%d-%d", r.options.Seed, number)
 	body := fmt.Appendf(nil, serviceBodyFormat, number, random.IntN(90))
-	apiKey := r.key(random)
-	r.count(func(result *Result) { result.Requests++; r.sent[idempotencyKey] = true })
+	apiKey := r.randomKey(random)
+	r.updateResult(func(result *Result) { result.Requests++; r.sent[idempotencyKey] = true })
 	started := time.Now()
-	var answers sync.WaitGroup
+	var senders sync.WaitGroup
 	outcomes := make([]serviceOutcome, 1)
-	if random.Float64() < resendShare {
+	if random.Float64() < duplicateRatio {
 		outcomes = make([]serviceOutcome, 2)
 	}
 	for i := range outcomes {
 		local := rand.New(rand.NewPCG(random.Uint64(), 11))
-		answers.Go(func() { outcomes[i] = r.sendService(ctx, idempotencyKey, apiKey, body, local) })
+		senders.Go(func() { outcomes[i] = r.sendServiceWithRetries(ctx, idempotencyKey, apiKey, body, local) })
 	}
-	answers.Wait()
-	r.countService(idempotencyKey, outcomes, started)
+	senders.Wait()
+	r.recordServiceOutcome(idempotencyKey, outcomes, started)
 }
 
 // serviceOutcome is what one sender finally learned.
@@ -53,26 +53,26 @@
 	problem  *api.Problem
 }
 
-// sendService sends until it has an answer or a refusal that will not change.
-func (r *runner) sendService(ctx context.Context, idempotencyKey, apiKey string, body []byte, random *rand.Rand) serviceOutcome {
+// sendServiceWithRetries sends until it has an answer or a refusal that will not change.
+func (r *runner) sendServiceWithRetries(ctx context.Context, idempotencyKey, apiKey string, body []byte, random *rand.Rand) serviceOutcome {
 	var last serviceOutcome
-	for try := 0; try < resendTries && ctx.Err() == nil; try++ {
+	for attempt := 0; attempt < maxServiceAttempts && ctx.Err() == nil; attempt++ {
 		last = r.sendServiceOnce(ctx, idempotencyKey, apiKey, body, random)
-		if !last.again() {
+		if !last.retryable() {
 			return last
 		}
-		time.Sleep(resendPause)
+		time.Sleep(retryDelay)
 	}
 	return last
 }
 
-// again reports whether sending once more can help.
-func (o serviceOutcome) again() bool {
+// retryable reports whether sending once more can help.
+func (o serviceOutcome) retryable() bool {
 	return o.broken || (o.problem != nil && o.problem.RetryAfter > 0)
 }
 
 func (r *runner) sendServiceOnce(ctx context.Context, idempotencyKey, apiKey string, body []byte, random *rand.Rand) serviceOutcome {
-	response, err := r.send(ctx, r.router(random), "/v1/services/"+r.options.Deployment.Small.Name, apiKey, map[string]string{api.HeaderIdempotencyKey: idempotencyKey}, body)
+	response, err := r.send(ctx, r.randomRouter(random), "/v1/services/"+r.options.Deployment.Small.Name, apiKey, map[string]string{api.HeaderIdempotencyKey: idempotencyKey}, body)
 	if err != nil {
 		return serviceOutcome{broken: true}
 	}
@@ -88,12 +88,12 @@
 	if err != nil {
 		return serviceOutcome{broken: true}
 	}
-	return serviceOutcome{complete: true, wrong: !bytes.Equal(data, standin.ServiceAnswer(body))}
+	return serviceOutcome{complete: true, wrong: !bytes.Equal(data, standin.ServiceResponse(body))}
 }
 
-// countService counts one request by the best of what its senders learned.
-func (r *runner) countService(idempotencyKey string, outcomes []serviceOutcome, started time.Time) {
-	r.count(func(result *Result) {
+// recordServiceOutcome counts one request by the best of what its senders learned.
+func (r *runner) recordServiceOutcome(idempotencyKey string, outcomes []serviceOutcome, started time.Time) {
+	r.updateResult(func(result *Result) {
 		_ = r.service.RecordValue(time.Since(started).Microseconds()) // beyond the range only after the timeout
 		best := outcomes[0]
 		for _, outcome := range outcomes {
@@ -108,7 +108,7 @@
 		case best.complete:
 			result.Complete++
 		case best.problem != nil:
-			result.Refused++
+			result.Rejected++
 			result.Reasons[best.problem.Type+"/"+string(best.problem.Run)]++
 			allNotRun := true
 			for _, outcome := range outcomes {
@@ -116,14 +116,14 @@
 			}
 			r.notRun[idempotencyKey] = allNotRun
 		default:
-			result.Broken++
+			result.BrokenConnections++
 		}
 	})
 }
 
-// checkRuns reads what the small services ran: no key twice, and none that was refused as not run.
-func (r *runner) checkRuns() error {
-	seen := map[string]int{}
+// checkServiceRuns reads what the small services ran: no key twice, and none that was refused as not run.
+func (r *runner) checkServiceRuns() error {
+	runCounts := map[string]int{}
 	for _, address := range r.options.Backends {
 		runs, err := r.readRuns(address)
 		if err != nil {
@@ -131,11 +131,11 @@
 		}
 		for _, run := range runs {
 			if r.sent[run.Key] {
-				seen[run.Key]++
+				runCounts[run.Key]++
 			}
 		}
 	}
-	for key, count := range seen {
+	for key, count := range runCounts {
 		if count > 1 {
 			r.result.Duplicated += count - 1
 		}
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -127,15 +127,15 @@
 // Rates returns the engine's performance with defaults applied.
 func (d *Deployment) Rates() engine.Rates {
 	rates := engine.DefaultRates()
-	override(&rates.PrefillTokens, d.Engine.PrefillTokens)
-	override(&rates.ImportTokens, d.Engine.ImportTokens)
+	override(&rates.PrefillTokensPerSecond, d.Engine.PrefillTokens)
+	override(&rates.ImportTokensPerSecond, d.Engine.ImportTokens)
 	override(&rates.DecodeStep, d.Engine.DecodeStep)
 	override(&rates.DecodePerSeq, d.Engine.DecodePerSeq)
 	override(&rates.MaxBatch, d.Engine.MaxBatch)
 	override(&rates.CacheBlocks, d.Engine.CacheBlocks)
-	override(&rates.CacheIdle, d.Engine.CacheIdle)
+	override(&rates.CacheIdleTimeout, d.Engine.CacheIdle)
 	override(&rates.EventLag, d.Engine.EventLag)
-	override(&rates.EventLoss, d.Engine.EventLoss)
+	override(&rates.EventLossRatio, d.Engine.EventLoss)
 	override(&rates.LoadLag, d.Engine.LoadLag)
 	override(&rates.LoadTime, d.Weights.LoadTime)
 	return rates
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -167,13 +167,13 @@
 func (b *fleetBackend) sendBeat(beat *control.BackendHeartbeat) {
 	request := b.request(beat)
 	if b.told == toldOf(beat) && beat.Sequence%3 == 0 {
-		request = control.Request{Signs: []control.Keepalive{{ID: beat.Instance.ID, Sequence: beat.Sequence}}}
+		request = control.Request{Keepalives: []control.Keepalive{{ID: beat.Instance.ID, Sequence: beat.Sequence}}}
 	}
 	b.asker.once(request, askTimeout, func(response control.Response, answered bool) {
 		switch {
 		case !answered || response.Kind != control.ResponseOK || len(response.UnknownBackends) > 0:
 			b.told = ""
-		case len(request.Signs) == 0:
+		case len(request.Keepalives) == 0:
 			b.told = toldOf(beat)
 		}
 	})
@@ -187,9 +187,9 @@
 // request puts a heartbeat into a call: every other one as a replica that gathers heartbeats passes them on.
 func (b *fleetBackend) request(beat *control.BackendHeartbeat) control.Request {
 	if beat.Sequence%2 == 0 {
-		return control.Request{Beats: []control.BackendHeartbeat{*beat}}
+		return control.Request{BackendHeartbeats: []control.BackendHeartbeat{*beat}}
 	}
-	return control.Request{Beat: beat}
+	return control.Request{BackendHeartbeat: beat}
 }
 
 // drain says that the instance leaves, and ends it after the acknowledgement.
@@ -207,7 +207,7 @@
 		}
 		b.after(fleetDrain, func() {
 			leave := &control.BackendHeartbeat{Instance: catalog.Instance{ID: catalog.ParseInstanceID(id).Name}, Leaving: true}
-			b.asker.ask(control.Request{Beat: leave}, b.w.now()+10*time.Second, func(control.Response, bool) {
+			b.asker.ask(control.Request{BackendHeartbeat: leave}, b.w.now()+10*time.Second, func(control.Response, bool) {
 				b.kill(false)
 				b.w.restart(b, b.w.between(200*time.Millisecond, 2*time.Second))
 			})
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -257,11 +257,11 @@
 				r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: pushback.Signals{Limit: limit}})
 			}
 			switch result {
-			case engine.Taken:
-			case engine.TakenWithoutReuse:
+			case engine.Accepted:
+			case engine.AcceptedWithoutReuse:
 				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 			default:
-				r.refused(s, action, life, pushback.Signals{Draining: result == engine.RefusedLeaving, Backoff: 100 * time.Millisecond})
+				r.refused(s, action, life, pushback.Signals{Draining: result == engine.RejectedDraining, Backoff: 100 * time.Millisecond})
 			}
 		})
 	}, func(refused bool) { r.attemptEvent(s, core.EventAttempt{Kind: failureKind(refused)}) })
--- a/internal/lab/soak/owner.go
+++ b/internal/lab/soak/owner.go
@@ -12,31 +12,31 @@
 
 // Owner returns the name of the process among the given ones that holds the far end of a loopback connection whose near end is ours, or
 // "". The kernel tells: nothing in the processes has to know of the proxy.
-func Owner(processes []*Process, near net.Conn) string {
-	opener, own := endOf(near.RemoteAddr()), endOf(near.LocalAddr())
-	if opener == nil || own == nil {
+func Owner(processes []*Process, conn net.Conn) string {
+	remote, local := endpointOf(conn.RemoteAddr()), endpointOf(conn.LocalAddr())
+	if remote == nil || local == nil {
 		return ""
 	}
-	inode := inodeOf(opener, own)
+	inode := socketInode(remote, local)
 	if inode == 0 {
 		return ""
 	}
-	wanted := "socket:[" + strconv.FormatUint(uint64(inode), 10) + "]"
+	socket := "socket:[" + strconv.FormatUint(uint64(inode), 10) + "]"
 	for _, p := range processes {
-		if id := p.ID(); id > 0 && holds(id, wanted) {
+		if pid := p.PID(); pid > 0 && hasSocketOpen(pid, socket) {
 			return p.Name
 		}
 	}
 	return ""
 }
 
-// end is one end of a connection as the kernel writes it: the port, then the address, both with the highest byte first.
-type end struct {
+// endpoint is one endpoint of a connection as the kernel writes it: the port, then the address, both with the highest byte first.
+type endpoint struct {
 	port    [2]byte
 	address [4]byte
 }
 
-func endOf(address net.Addr) *end {
+func endpointOf(address net.Addr) *endpoint {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
 		return nil
@@ -45,75 +45,75 @@
 	if ip == nil {
 		return nil
 	}
-	made := &end{address: [4]byte(ip)}
-	binary.BigEndian.PutUint16(made.port[:], uint16(tcp.Port))
-	return made
+	result := &endpoint{address: [4]byte(ip)}
+	binary.BigEndian.PutUint16(result.port[:], uint16(tcp.Port))
+	return result
 }
 
 // Layout of a question for one socket and of its answer: linux/inet_diag.h and linux/netlink.h.
 const (
-	askBytes     = unix.NLMSG_HDRLEN + 56
-	askFamily    = unix.NLMSG_HDRLEN
-	askProtocol  = askFamily + 1
-	askFromPort  = askFamily + 8
-	askToPort    = askFromPort + 2
-	askFrom      = askToPort + 2
-	askTo        = askFrom + 16
-	askCookie    = askTo + 16 + 4
-	toldBytes    = unix.NLMSG_HDRLEN + 72
-	toldState    = unix.NLMSG_HDRLEN + 1
-	toldInode    = unix.NLMSG_HDRLEN + 68
-	established  = 1
-	noCookie     = 0xffffffffffffffff
-	toldTimeoutS = 2 // the kernel answers within the call; the bound keeps a lost answer from holding a connection for good
+	requestBytes         = unix.NLMSG_HDRLEN + 56
+	requestFamily        = unix.NLMSG_HDRLEN
+	requestProtocol      = requestFamily + 1
+	requestLocalPort     = requestFamily + 8
+	requestRemotePort    = requestLocalPort + 2
+	requestLocalAddress  = requestRemotePort + 2
+	requestRemoteAddress = requestLocalAddress + 16
+	requestCookie        = requestRemoteAddress + 16 + 4
+	replyBytes           = unix.NLMSG_HDRLEN + 72
+	replyState           = unix.NLMSG_HDRLEN + 1
+	replyInode           = unix.NLMSG_HDRLEN + 68
+	established          = 1
+	noCookie             = 0xffffffffffffffff
+	replyTimeoutSeconds  = 2 // the kernel answers within the call; the bound keeps a lost answer from holding a connection for good
 )
 
-// inodeOf returns the kernel's number of the established socket with these ends, or 0. It asks for just this one: a list of the machine's
+// socketInode returns the kernel's number of the established socket with these ends, or 0. It asks for just this one: a list of the machine's
 // sockets takes the longer the more others hold, and is asked for with each connection.
-func inodeOf(local, remote *end) uint32 {
+func socketInode(local, remote *endpoint) uint32 {
 	socket, err := unix.Socket(unix.AF_NETLINK, unix.SOCK_DGRAM|unix.SOCK_CLOEXEC, unix.NETLINK_INET_DIAG)
 	if err != nil {
 		return 0
 	}
 	defer unix.Close(socket)
-	if unix.SetsockoptTimeval(socket, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: toldTimeoutS}) != nil {
+	if unix.SetsockoptTimeval(socket, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: replyTimeoutSeconds}) != nil {
 		return 0
 	}
-	if unix.Sendto(socket, question(local, remote), 0, &unix.SockaddrNetlink{Family: unix.AF_NETLINK}) != nil {
+	if unix.Sendto(socket, socketRequest(local, remote), 0, &unix.SockaddrNetlink{Family: unix.AF_NETLINK}) != nil {
 		return 0
 	}
-	told := make([]byte, unix.Getpagesize())
-	count, _, err := unix.Recvfrom(socket, told, 0)
-	if err != nil || count < toldBytes || binary.NativeEndian.Uint16(told[4:]) != unix.SOCK_DIAG_BY_FAMILY || told[toldState] != established {
+	reply := make([]byte, unix.Getpagesize())
+	count, _, err := unix.Recvfrom(socket, reply, 0)
+	if err != nil || count < replyBytes || binary.NativeEndian.Uint16(reply[4:]) != unix.SOCK_DIAG_BY_FAMILY || reply[replyState] != established {
 		return 0
 	}
-	return binary.NativeEndian.Uint32(told[toldInode:])
+	return binary.NativeEndian.Uint32(reply[replyInode:])
 }
 
-// question asks for the socket with these ends.
-func question(local, remote *end) []byte {
-	asked := make([]byte, askBytes)
-	binary.NativeEndian.PutUint32(asked, askBytes)
-	binary.NativeEndian.PutUint16(asked[4:], unix.SOCK_DIAG_BY_FAMILY)
-	binary.NativeEndian.PutUint16(asked[6:], unix.NLM_F_REQUEST)
-	asked[askFamily], asked[askProtocol] = unix.AF_INET, unix.IPPROTO_TCP
-	copy(asked[askFromPort:], local.port[:])
-	copy(asked[askToPort:], remote.port[:])
-	copy(asked[askFrom:], local.address[:])
-	copy(asked[askTo:], remote.address[:])
-	binary.NativeEndian.PutUint64(asked[askCookie:], noCookie)
-	return asked
+// socketRequest asks for the socket with these ends.
+func socketRequest(local, remote *endpoint) []byte {
+	request := make([]byte, requestBytes)
+	binary.NativeEndian.PutUint32(request, requestBytes)
+	binary.NativeEndian.PutUint16(request[4:], unix.SOCK_DIAG_BY_FAMILY)
+	binary.NativeEndian.PutUint16(request[6:], unix.NLM_F_REQUEST)
+	request[requestFamily], request[requestProtocol] = unix.AF_INET, unix.IPPROTO_TCP
+	copy(request[requestLocalPort:], local.port[:])
+	copy(request[requestRemotePort:], remote.port[:])
+	copy(request[requestLocalAddress:], local.address[:])
+	copy(request[requestRemoteAddress:], remote.address[:])
+	binary.NativeEndian.PutUint64(request[requestCookie:], noCookie)
+	return request
 }
 
-// holds reports whether a process has a socket open.
-func holds(id int, socket string) bool {
-	folder := filepath.Join("/proc", strconv.Itoa(id), "fd")
-	entries, err := os.ReadDir(folder)
+// hasSocketOpen reports whether a process has a socket open.
+func hasSocketOpen(pid int, socket string) bool {
+	dir := filepath.Join("/proc", strconv.Itoa(pid), "fd")
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return false // it has ended
 	}
 	for _, entry := range entries {
-		if target, err := os.Readlink(filepath.Join(folder, entry.Name())); err == nil && target == socket {
+		if target, err := os.Readlink(filepath.Join(dir, entry.Name())); err == nil && target == socket {
 			return true
 		}
 	}
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -10,8 +10,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// endPatience is how long a process may take to end once it was told to.
-const endPatience = 12 * time.Second
+// stopTimeout is how long a process may take to end once it was told to.
+const stopTimeout = 12 * time.Second
 
 // Process is one program under test. It is started again after it was killed.
 type Process struct {
@@ -19,15 +19,15 @@
 	Env  []string // beside the soak's own
 	Args []string // the program comes first
 	Log  string   // file that it writes to
-	// Other is another build of the program, or "". Each start takes the one that the last start didn't take.
-	Other string
+	// AlternateBuild is another build of the program, or "". Each start takes the one that the last start didn't take.
+	AlternateBuild string
 
-	mu      sync.Mutex
-	starts  int           // so far; guarded by mu
-	command *exec.Cmd     // nil while it does not run; guarded by mu
-	ended   chan struct{} // closed once command has ended; guarded by mu
-	wanted  bool          // it was not told to end; guarded by mu
-	own     int           // ends that nobody asked for; guarded by mu
+	mu              sync.Mutex
+	starts          int           // so far; guarded by mu
+	command         *exec.Cmd     // nil while it does not run; guarded by mu
+	ended           chan struct{} // closed once command has ended; guarded by mu
+	shouldRun       bool          // it was not told to end; guarded by mu
+	unexpectedExits int           // ends that nobody asked for; guarded by mu
 }
 
 // Start starts the process, unless it runs.
@@ -41,7 +41,7 @@
 	if err != nil {
 		return eris.Wrap(err, "open the log of a process")
 	}
-	command := exec.Command(p.build(), p.Args[1:]...)
+	command := exec.Command(p.nextBuild(), p.Args[1:]...)
 	p.starts++
 	command.Env = append(os.Environ(), p.Env...)
 	command.Stdout, command.Stderr = log, log
@@ -49,13 +49,13 @@
 		return eris.Wrapf(err, "start %s", p.Name)
 	}
 	ended := make(chan struct{})
-	p.command, p.ended, p.wanted = command, ended, true
+	p.command, p.ended, p.shouldRun = command, ended, true
 	go func() {
 		_ = command.Wait() // how it ended is told by whether it was wanted
 		_ = log.Close()
 		p.mu.Lock()
-		if p.wanted {
-			p.own++
+		if p.shouldRun {
+			p.unexpectedExits++
 		}
 		p.command = nil
 		p.mu.Unlock()
@@ -64,10 +64,10 @@
 	return nil
 }
 
-// build returns the program that the next start takes. The caller holds mu.
-func (p *Process) build() string {
-	if p.Other != "" && p.starts%2 == 1 {
-		return p.Other
+// nextBuild returns the program that the next start takes. The caller holds mu.
+func (p *Process) nextBuild() string {
+	if p.AlternateBuild != "" && p.starts%2 == 1 {
+		return p.AlternateBuild
 	}
 	return p.Args[0]
 }
@@ -81,11 +81,11 @@
 	}
 }
 
-// End ends the process by a signal and reports whether it ended in time; else it is killed.
-func (p *Process) End(signal syscall.Signal) bool {
+// Stop ends the process by a signal and reports whether it ended in time; else it is killed.
+func (p *Process) Stop(signal syscall.Signal) bool {
 	p.mu.Lock()
 	command, ended := p.command, p.ended
-	p.wanted = false
+	p.shouldRun = false
 	p.mu.Unlock()
 	if command == nil {
 		return true
@@ -95,15 +95,15 @@
 	select {
 	case <-ended:
 		return true
-	case <-time.After(endPatience):
+	case <-time.After(stopTimeout):
 	}
 	_ = command.Process.Kill()
 	<-ended
 	return false
 }
 
-// ID returns the process's number, or 0.
-func (p *Process) ID() int {
+// PID returns the process's number, or 0.
+func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command == nil {
@@ -112,9 +112,9 @@
 	return p.command.Process.Pid
 }
 
-// OwnEnds returns how often it ended without being told to.
-func (p *Process) OwnEnds() int {
+// UnexpectedExits returns how often it ended without being told to.
+func (p *Process) UnexpectedExits() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.own
+	return p.unexpectedExits
 }
--- a/internal/lab/standin/serve.go
+++ b/internal/lab/standin/serve.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	headerTimeout = 10 * time.Second
-	closeTimeout  = time.Second
+	headerTimeout   = 10 * time.Second
+	shutdownTimeout = time.Second
 )
 
 // serve runs an HTTP server until ctx ends.
@@ -22,17 +22,17 @@
 		return eris.Wrapf(err, "listen on %s", address)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
-	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
 	log.Info("stand-in started", zap.String("listen", address))
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return eris.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	closing, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := server.Shutdown(closing); err != nil {
+	if err := server.Shutdown(shutdownCtx); err != nil {
 		return eris.Wrap(server.Close(), "close")
 	}
 	return nil
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -19,12 +19,12 @@
 	"kitetiller/internal/settings"
 )
 
-// newFakeServer answers operators' requests with fixed replies.
+// newFakeServer returns a server that acts as control replica and router and sends fixed replies.
 func newFakeServer(t *testing.T) *httptest.Server {
 	t.Helper()
 	tree := settings.NewTree()
-	edit := settings.Edit{Path: "/z1/llm", Setting: "queue_limit", Value: json.RawMessage("64")}
-	tree, problems := tree.Apply([]settings.Edit{edit, {Path: "/", Setting: "time_weight", Value: json.RawMessage("0.2")}})
+	queueLimitEdit := settings.Edit{Path: "/z1/llm", Setting: "queue_limit", Value: json.RawMessage("64")}
+	tree, problems := tree.Apply([]settings.Edit{queueLimitEdit, {Path: "/", Setting: "time_weight", Value: json.RawMessage("0.2")}})
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
@@ -32,10 +32,10 @@
 		ID: "control-1-aa", Name: "control-1", Role: "leader", Term: 3, Leader: "control-1", LeaseHeld: true, Applied: 91, Version: 7, InForce: 6, Claims: 12,
 		Members: []control.MemberStatus{{Member: consensus.Member{ID: "control-1-aa", Name: "control-1", Address: "10.0.0.1:9000"}, Match: 91},
 			{Member: consensus.Member{ID: "control-2-bb", Name: "control-2", Address: "10.0.0.2:9000", Learner: true}, Match: 60, Silent: 1500 * time.Millisecond}},
-		Engines:  []control.EngineStatus{{EngineReport: control.EngineReport{Name: "llm-1", Weights: "w1", Loading: true}, Wanted: "w2"}},
-		Limits:   []allowance.State{{Name: "tenant/north", Limit: allowance.Limit{Rate: 1000, Burst: 500}, Level: 12, Granted: 90_000, Refused: 4000, OverLimit: true, Withheld: 0.25}},
-		Named:    []allowance.State{{Name: "back-end/llm-1", Limit: allowance.Limit{Rate: 3.8, Burst: 2}, Level: 0.4, Granted: 310, Refused: 92}},
-		Suspects: []quarantine.Entry{{Request: quarantine.Fingerprint{1}, Incarnations: []string{"i-1", "i-2", "i-3"}}, {Request: quarantine.Fingerprint{2}, Incarnations: []string{"i-2", "i-4"}}},
+		Engines:          []control.EngineStatus{{EngineReport: control.EngineReport{Name: "llm-1", Weights: "w1", Loading: true}, Wanted: "w2"}},
+		Limits:           []allowance.State{{Name: "tenant/north", Limit: allowance.Limit{Rate: 1000, Burst: 500}, Level: 12, Granted: 90_000, Refused: 4000, OverLimit: true, Withheld: 0.25}},
+		AdvertisedLimits: []allowance.State{{Name: "back-end/llm-1", Limit: allowance.Limit{Rate: 3.8, Burst: 2}, Level: 0.4, Granted: 310, Refused: 92}},
+		Suspects:         []quarantine.Entry{{Request: quarantine.Fingerprint{1}, Incarnations: []string{"i-1", "i-2", "i-3"}}, {Request: quarantine.Fingerprint{2}, Incarnations: []string{"i-2", "i-4"}}},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+control.PathAdmin, func(w http.ResponseWriter, r *http.Request) {
@@ -48,10 +48,10 @@
 		case request.Status != nil:
 			response.Status = &status
 		case request.Read != nil:
-			response.Read = &control.ReadReply{Version: 7, InForce: 6, Tree: tree, History: []settings.HistoryEntry{{Version: 7, OperationID: "op", Author: "lea", Edits: []settings.Edit{edit}}}}
+			response.Read = &control.ReadReply{Version: 7, InForce: 6, Tree: tree, History: []settings.HistoryEntry{{Version: 7, OperationID: "op", Author: "lea", Edits: []settings.Edit{queueLimitEdit}}}}
 		case request.Catalog != nil:
 			if released := request.Catalog.Quarantine.Releases; len(released) != 1 || released[0].Reason != quarantine.ReasonOperator || len(released[0].Requests) != 2 {
-				t.Errorf("released %+v", released)
+				t.Errorf("got releases %+v, want one of two requests by the operator", released)
 			}
 		case request.Change != nil:
 			response.Change = &settings.Outcome{Kind: settings.OutcomeConflict, Version: 7, ChangesSinceBase: []settings.Difference{{Path: "/z1/llm", Setting: "queue_limit", After: json.RawMessage("64")}}}
@@ -73,7 +73,8 @@
 	return server
 }
 
-// TestCommandOutputMatchesGoldenFiles compares each table with its golden file; go test ./internal/operator -update writes them.
+// TestCommandOutputMatchesGoldenFiles compares the table of each command with its golden file; the flag -update writes
+// the files.
 func TestCommandOutputMatchesGoldenFiles(t *testing.T) {
 	address := newFakeServer(t).Listener.Addr().String()
 	for _, tc := range []struct {
@@ -102,7 +103,7 @@
 				t.Fatal(err)
 			}
 			if err := tc.run(command); (err != nil) != tc.wantErr {
-				t.Fatalf("error %v", err)
+				t.Fatalf("unexpected result: error %v", err)
 			}
 			goldie.New(t).Assert(t, tc.name, out.Bytes())
 		})
