--- a/cmd/kitelab/load.go
+++ b/cmd/kitelab/load.go
@@ -61,8 +61,8 @@
 	defer stop()
 	result, err := load.Run(ctx, load.Options{
 		Deployment: deployment, Routers: splitList(f.routers), Keys: splitList(f.keys), Backends: splitList(f.backends),
-		Duration: f.duration, Rate: f.rate, Seed: f.seed, AllowBroken: f.allowBroken, Progress: os.Stderr,
-		HangUps: f.disconnects, WithoutService: f.withoutService,
+		Duration: f.duration, Rate: f.rate, Seed: f.seed, AllowBrokenConnections: f.allowBroken, Progress: os.Stderr,
+		ClientDisconnects: f.disconnects, SkipService: f.withoutService,
 	})
 	if err != nil {
 		return err
@@ -72,8 +72,8 @@
 	}
 	printLoad(result)
 	fmt.Printf("%s: requests=%d complete=%d refused=%d lost=%d duplicated=%d out_of_order=%d wrong_answer=%d\n", f.label,
-		result.Requests, result.Complete, result.Refused, result.Lost, result.Duplicated, result.OutOfOrder, result.WrongAnswer)
-	if !result.Sound(f.allowBroken) {
+		result.Requests, result.Complete, result.Rejected, result.Lost, result.Duplicated, result.OutOfOrder, result.WrongAnswer)
+	if !result.Passed(f.allowBroken) {
 		return errViolation
 	}
 	return nil
@@ -98,7 +98,7 @@
 	}{{"time to first token", result.FirstTokens}, {"small service", result.Service}} {
 		fmt.Printf("%-22s %8d %9.1f %9.1f %9.1f %9.1f\n", row.name, row.q.Count, row.q.P50, row.q.P95, row.q.P99, row.q.Max)
 	}
-	fmt.Printf("errors=%d broken_connections=%d hung_up=%d false_not_run=%d\n", result.Errors, result.Broken, result.HungUp, result.FalseNotRun)
+	fmt.Printf("errors=%d broken_connections=%d hung_up=%d false_not_run=%d\n", result.ErrorEvents, result.BrokenConnections, result.ClientDisconnects, result.FalseNotRun)
 	for reason, count := range result.Reasons {
 		fmt.Printf("  refused as %s: %d\n", reason, count)
 	}
--- a/cmd/kitelab/standins.go
+++ b/cmd/kitelab/standins.go
@@ -93,7 +93,7 @@
 		return flags.serve("backend", func(d *plan.Deployment, log *zap.Logger) (runner, error) {
 			return standin.NewService(standin.ServiceConfig{
 				Name: flags.name, Zone: flags.zone, Service: d.Small.Name, Listen: flags.listen,
-				ServiceTime: d.Small.Time, DropAfter: dropAfter, DropBefore: dropBefore,
+				ServiceTime: d.Small.ServiceTime, DropAfterRatio: dropAfter, DropBeforeRatio: dropBefore,
 			}, log), nil
 		})
 	}}
@@ -105,7 +105,7 @@
 	flags.attach(sub)
 	return command{sub, func() error {
 		return flags.serve("vault", func(d *plan.Deployment, log *zap.Logger) (runner, error) {
-			return standin.NewVault(standin.VaultConfig{Listen: flags.listen, Blocks: d.Vault.Blocks}, log), nil
+			return standin.NewVault(standin.VaultConfig{Listen: flags.listen, MaxBlocks: d.Vault.Blocks}, log), nil
 		})
 	}}
 }
@@ -116,8 +116,8 @@
 	flags.attach(sub)
 	return command{sub, func() error {
 		return flags.serve("weights", func(d *plan.Deployment, log *zap.Logger) (runner, error) {
-			return standin.NewWeights(standin.WeightsConfig{
-				Listen: flags.listen, LoadTime: d.Weights.LoadTime, Concurrent: d.Weights.Concurrent,
+			return standin.NewWeightStore(standin.WeightStoreConfig{
+				Listen: flags.listen, LoadTime: d.Weights.LoadTime, FullSpeedLimit: d.Weights.MaxConcurrent,
 			}, log), nil
 		})
 	}}
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -35,20 +35,20 @@
 // Command is a change of the replicated state. Exactly one field is set besides UnixMS; AddGateways and RemoveGateways
 // may be set together.
 type Command struct {
-	Replace               *Document         `json:"replace,omitempty"`
-	Register              *Instance         `json:"register,omitempty"`
-	RegisterBatch         []Instance        `json:"joined,omitempty"`  // registered in this order
-	Drain                 string            `json:"drain,omitempty"`   // instance id
-	Deregister            string            `json:"remove,omitempty"`  // id of an instance that announced that it leaves
-	Expire                string            `json:"forget,omitempty"`  // id of an instance without heartbeats; may register again
-	PublishWeights        *WeightsVersion   `json:"version,omitempty"` // new version of a model's weights
-	Fence                 bool              `json:"fence,omitempty"`   // issue a new fencing token
-	Loaded                []LoadedWeights   `json:"held,omitempty"`    // weights that instances reported as loaded
-	WeightsCommandTargets []string          `json:"order,omitempty"`   // ids of instances about to be sent weights commands
-	ReplaceGateways       []string          `json:"gates,omitempty"`   // all gateways that poll the leader
-	MaxHashWeights        map[string]uint64 `json:"bounds,omitempty"`  // by service: highest hash weight in use
-	AddGateways           []string          `json:"came,omitempty"`    // gateways that started to poll the leader
-	RemoveGateways        []string          `json:"left,omitempty"`    // gateways that stopped polling the leader
+	Replace             *Document         `json:"replace,omitempty"`
+	Register            *Instance         `json:"register,omitempty"`
+	RegisterBatch       []Instance        `json:"joined,omitempty"`  // registered in this order
+	Drain               string            `json:"drain,omitempty"`   // instance id
+	Deregister          string            `json:"remove,omitempty"`  // id of an instance that announced that it leaves
+	Expire              string            `json:"forget,omitempty"`  // id of an instance without heartbeats; may register again
+	PublishWeights      *WeightsVersion   `json:"version,omitempty"` // new version of a model's weights
+	Fence               bool              `json:"fence,omitempty"`   // issue a new fencing token
+	Loaded              []LoadedWeights   `json:"held,omitempty"`    // weights that instances reported as loaded
+	WeightsOrderTargets []string          `json:"order,omitempty"`   // ids of instances about to be sent weights orders
+	ReplaceGateways     []string          `json:"gates,omitempty"`   // all gateways that poll the leader
+	MaxHashWeights      map[string]uint64 `json:"bounds,omitempty"`  // by service: highest hash weight in use
+	AddGateways         []string          `json:"came,omitempty"`    // gateways that started to poll the leader
+	RemoveGateways      []string          `json:"left,omitempty"`    // gateways that stopped polling the leader
 
 	Quarantine *quarantine.Change `json:"quarantine,omitempty"` // requests during which backends crashed
 
@@ -89,7 +89,7 @@
 	latestVersions map[string]uint64
 	publications   map[string][]Publication     // by model, ascending by version; the last one is the latest version
 	loaded         map[string]map[string]uint64 // by registered instance and model; versions never decrease
-	commanded      map[string]bool              // see MayHaveWeightsCommand; only registered instances
+	ordered        map[string]bool              // see MayHaveWeightsOrder; only registered instances
 	gateways       []string                     // gateways that poll the leader, sorted
 	gatewaySet     map[string]bool              // set of gateways
 	maxHashWeights map[string]uint64            // by service; no entry if all backends are in use
@@ -102,7 +102,7 @@
 func NewMachine() *Machine {
 	return &Machine{
 		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, incarnations: newIncarnations(), latestVersions: map[string]uint64{}, publications: map[string][]Publication{}, loaded: map[string]map[string]uint64{},
-		commanded: map[string]bool{}, gatewaySet: map[string]bool{}, maxHashWeights: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewRegistry(),
+		ordered: map[string]bool{}, gatewaySet: map[string]bool{}, maxHashWeights: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewRegistry(),
 	}
 }
 
@@ -148,11 +148,11 @@
 func (m *Machine) LatestVersions() map[string]uint64 { return m.latestVersions }
 
 // LoadedVersions returns the highest weights version by model that an instance was known to have loaded. It may have
-// loaded others since: newer ones, or older ones after a delayed command. Callers must not modify the map.
+// loaded others since: newer ones, or older ones after a delayed order. Callers must not modify the map.
 func (m *Machine) LoadedVersions(id string) map[string]uint64 { return m.loaded[id] }
 
-// MayHaveWeightsCommand reports whether an instance or its predecessor may have been sent a weights command.
-func (m *Machine) MayHaveWeightsCommand(id string) bool { return m.commanded[id] }
+// MayHaveWeightsOrder reports whether an instance or its predecessor may have been sent a weights order.
+func (m *Machine) MayHaveWeightsOrder(id string) bool { return m.ordered[id] }
 
 // Gateways returns the sorted names of the gateways that poll the leader. Callers must not modify the slice.
 func (m *Machine) Gateways() []string { return m.gateways }
@@ -206,8 +206,8 @@
 		m.expire(command.Expire)
 	case len(command.Loaded) > 0:
 		m.recordLoaded(command.Loaded)
-	case len(command.WeightsCommandTargets) > 0:
-		m.recordWeightsCommands(command.WeightsCommandTargets)
+	case len(command.WeightsOrderTargets) > 0:
+		m.recordWeightsOrders(command.WeightsOrderTargets)
 	case len(command.ReplaceGateways) > 0:
 		m.setGateways(command.ReplaceGateways)
 	case len(command.AddGateways)+len(command.RemoveGateways) > 0:
@@ -244,10 +244,10 @@
 		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
 	if previous, found := m.InstanceByName(ParseInstanceID(instance.ID).Name); found && previous.ID != instance.ID {
-		commanded := m.commanded[previous.ID]
+		ordered := m.ordered[previous.ID]
 		m.delete(previous.ID)
-		if commanded {
-			m.commanded[instance.ID] = true // a command in flight is addressed to the backend, not to the incarnation
+		if ordered {
+			m.ordered[instance.ID] = true // an order in flight is addressed to the backend, not to the incarnation
 		}
 	}
 	if known && existing.State == StateDraining {
@@ -288,14 +288,14 @@
 	}
 	delete(m.instances, id)
 	delete(m.loaded, id)
-	delete(m.commanded, id)
+	delete(m.ordered, id)
 }
 
-// recordWeightsCommands records registered instances that are about to be sent weights commands.
-func (m *Machine) recordWeightsCommands(ids []string) {
+// recordWeightsOrders records registered instances that are about to be sent weights orders.
+func (m *Machine) recordWeightsOrders(ids []string) {
 	for _, id := range ids {
 		if _, known := m.instances[id]; known {
-			m.commanded[id] = true
+			m.ordered[id] = true
 		}
 	}
 }
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -44,7 +44,7 @@
 		if known && mark.term != term {
 			mark.foreign, mark.foreignAppliedAt = true, mark.appliedAt
 		}
-		if !known && r.machine.catalog.MayHaveWeightsCommand(id) {
+		if !known && r.machine.catalog.MayHaveWeightsOrder(id) {
 			mark.foreign = true // its entry is part of a snapshot, so its age counts from the start of this process
 		}
 		mark.term, mark.appliedAt, mark.renewalDeadline = term, now, 0
@@ -56,7 +56,7 @@
 // a snapshot was installed: the entries that it covers were never applied here.
 func (r *Replica) recordSnapshotOrders(now time.Duration) {
 	for id := range r.machine.catalog.Instances() {
-		if r.machine.catalog.MayHaveWeightsCommand(id) {
+		if r.machine.catalog.MayHaveWeightsOrder(id) {
 			r.orderMarks[catalog.ParseInstanceID(id).Name] = orderMark{appliedAt: now} // term 0 counts as another leader's
 		}
 	}
@@ -68,7 +68,7 @@
 	mark, known := r.orderMarks[catalog.ParseInstanceID(id).Name]
 	switch {
 	case !known:
-		return 0, r.machine.catalog.MayHaveWeightsCommand(id)
+		return 0, r.machine.catalog.MayHaveWeightsOrder(id)
 	case mark.term != r.node.Term():
 		return mark.appliedAt, true
 	}
@@ -96,7 +96,7 @@
 
 // announcedWithin reports whether an order to a back end was announced no longer ago than age.
 func (r *Replica) announcedWithin(now time.Duration, id string, age time.Duration) bool {
-	return now <= r.orderMarks[catalog.ParseInstanceID(id).Name].appliedAt+age || !r.config.Guards.On(guard.WeightsCommandDelay)
+	return now <= r.orderMarks[catalog.ParseInstanceID(id).Name].appliedAt+age || !r.config.Guards.On(guard.WeightsOrderDelay)
 }
 
 // dropLateOrders removes the orders whose announcement is older than maxDispatchAge and returns their back ends to
@@ -111,11 +111,11 @@
 	})
 }
 
-// handoverPauseOver reports whether every other leader's order to a back end was sent at least Config.OrderWait ago. An
+// handoverPauseOver reports whether every other leader's order to a back end was sent at least Config.WeightsOrderDelay ago. An
 // order may be sent up to maxOrderAge after its announcement.
 func (r *Replica) handoverPauseOver(now time.Duration, id string) bool {
 	at, ordered := r.lastForeignOrder(id)
-	return !ordered || now >= at+maxOrderAge+r.config.OrderWait || !r.config.Guards.On(guard.WeightsCommandDelay)
+	return !ordered || now >= at+maxOrderAge+r.config.WeightsOrderDelay || !r.config.Guards.On(guard.WeightsOrderDelay)
 }
 
 // queueOrderAnnouncement queues the announcement of an order to a back end. Announcements queued in one cycle share a
@@ -131,7 +131,7 @@
 	}
 	ids := r.leader.pendingOrderAnnouncements
 	r.leader.pendingOrderAnnouncements = nil
-	r.propose(now, 0, Command{Catalog: &catalog.Command{WeightsCommandTargets: ids}})
+	r.propose(now, 0, Command{Catalog: &catalog.Command{WeightsOrderTargets: ids}})
 }
 
 const (
@@ -185,7 +185,7 @@
 // allGatewaysFollow reports whether no gateway can still use a view of another leader: every gateway in the log has
 // sent a watch to this one, or all views of earlier leaders have expired.
 func (r *Replica) allGatewaysFollow(now time.Duration) bool {
-	if now >= r.leader.startedAt+r.viewExpiry() || !r.config.Guards.On(guard.WeightsCommandDelay) {
+	if now >= r.leader.startedAt+r.viewExpiry() || !r.config.Guards.On(guard.WeightsOrderDelay) {
 		return true
 	}
 	known := r.machine.catalog.Gateways()
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -47,7 +47,7 @@
 	fenceRequestedAt          time.Duration
 	fleet                     map[string]*backendState // by instance ID
 	fleetCheckedAt            time.Duration
-	heldLoggedAt              time.Duration // when the weights held by back ends were last checked for changes to log
+	loadedLoggedAt            time.Duration // when the weights loaded by back ends were last checked for changes to log
 	rolloutStepAt             time.Duration // time of the last rollout step
 	ackedRoster               uint64        // at the last rollout step: roster version in use at every gateway that may still send
 	underCapacity             bool          // at the last rollout step: whether the back ends lacked capacity
@@ -60,14 +60,14 @@
 	relayReplicas             map[string]relayReplica // followers that answer gateways, by name
 	cacheEventSources         map[string][]string     // engines whose cache events a gateway reads, by gateway; nil after a change of layout
 	cacheEventSourcesCount    uint64                  // roster count that cacheEventSources was computed from
-	trusting                  gatewayCounts
+	gatewayCounts             gatewayCounts
 	rosterCount               uint64 // incremented whenever the roster may have changed
 	roster                    roster.Log
 	rosterPending             map[string]bool       // back ends with changes not yet in the roster
-	unlogged                  map[string]bool       // back ends with held weights not yet in the log
+	unloggedWeights           map[string]bool       // back ends with loaded weights not yet in the log
 	pendingOrderAnnouncements []string              // back ends whose upcoming orders have yet to be announced in the log
 	inUseSizes                map[string]inuse.Size // by service
-	boundsCheckedAt           time.Duration         // when the set of back ends in use was last checked
+	inUseCheckedAt            time.Duration         // when the set of back ends in use was last checked
 	publishedCount            uint64                // newest roster for which held watches are answered; at most rosterCount
 	publishedAt               time.Duration
 	readyPeak                 int // recent peak of the number of ready engines
@@ -77,10 +77,10 @@
 	gatewayListChanged        bool          // the gateways in the log have changed, so that held watches can be answered
 	smoothedLoadTime          time.Duration // smoothed duration of loading weights; 0 before the first load
 	orderLostAt               time.Duration // when a weights order last got no answer
-	watchers                  []heldWatch
+	heldWatches               []heldWatch
 	usage                     map[string]usageReport // by gateway
 	lending                   lending
-	joining                   registrationBatch
+	pendingRegistrations      registrationBatch
 	levels                    levelTracker
 	unknownBackends           map[uint64][]string // back ends asked for a full heartbeat, by client that waits for an entry
 }
@@ -100,7 +100,7 @@
 		term:        term, routers: map[string]*routerLease{},
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
 		startedAt: now, orderLostAt: now - capacityWindow, fenceRequestedAt: now - weightsCallTimeout, fleet: map[string]*backendState{}, rosterPending: map[string]bool{},
-		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]relayReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
+		unloggedWeights: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]relayReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
 		lending: lending{allocator: allowance.NewAllocator(term)}, unknownBackends: map[uint64][]string{},
 		levels: levelTracker{reported: map[consensus.ID]reportedLevel{}},
 	}
@@ -152,10 +152,10 @@
 		r.handleQuarantineChange(now, client, *request.Catalog.Quarantine)
 	case request.Catalog != nil:
 		r.propose(now, client, Command{Catalog: request.Catalog})
-	case request.Beat != nil:
-		r.handleBackendHeartbeat(now, client, *request.Beat)
-	case len(request.Beats)+len(request.Signs) > 0:
-		r.handleHeartbeatBatch(now, client, request.Beats, request.Signs)
+	case request.BackendHeartbeat != nil:
+		r.handleBackendHeartbeat(now, client, *request.BackendHeartbeat)
+	case len(request.BackendHeartbeats)+len(request.Keepalives) > 0:
+		r.handleHeartbeatBatch(now, client, request.BackendHeartbeats, request.Keepalives)
 	case request.Watch != nil:
 		r.handleWatch(now, client, *request.Watch)
 	case request.Relay != nil:
@@ -170,7 +170,7 @@
 }
 
 // formed reports whether the group has ever reached its configured size. Before that it accepts no changes, since they
-// would be lost with the founder.
+// would be lost with the only member.
 func (r *Replica) formed() bool {
 	return r.machine.settings.Version() > 0 || r.machine.catalog.Document().Revision > 0 || len(r.machine.sessions) > 0 ||
 		r.node.Membership().Voters() >= r.config.Replicas
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -14,21 +14,21 @@
 )
 
 // Request is a request to a control replica, from a router, gateway, back end, operator or another replica. Exactly one
-// field is set, except that Beats and Signs may come together.
+// field is set, except that BackendHeartbeats and Keepalives may come together.
 type Request struct {
-	Heartbeat *Heartbeat         `json:"heartbeat,omitempty"`
-	Claim     *ledger.Claim      `json:"claim,omitempty"`
-	End       *ledger.End        `json:"end,omitempty"`
-	Change    *settings.Change   `json:"change,omitempty"`
-	Read      *Read              `json:"read,omitempty"`
-	Status    *StatusRequest     `json:"status,omitempty"`
-	Join      *consensus.Member  `json:"join,omitempty"`
-	Catalog   *catalog.Command   `json:"catalog,omitempty"` // changes the document, a named version or the quarantine
-	Beat      *BackendHeartbeat  `json:"beat,omitempty"`
-	Beats     []BackendHeartbeat `json:"beats,omitempty"` // full heartbeats of back ends, forwarded by a replica
-	Signs     []Keepalive        `json:"signs,omitempty"` // unchanged heartbeats of back ends, forwarded by a replica
-	Watch     *Watch             `json:"watch,omitempty"`
-	Document  *DocumentRequest   `json:"document,omitempty"`
+	Heartbeat         *Heartbeat         `json:"heartbeat,omitempty"`
+	Claim             *ledger.Claim      `json:"claim,omitempty"`
+	End               *ledger.End        `json:"end,omitempty"`
+	Change            *settings.Change   `json:"change,omitempty"`
+	Read              *Read              `json:"read,omitempty"`
+	Status            *StatusRequest     `json:"status,omitempty"`
+	Join              *consensus.Member  `json:"join,omitempty"`
+	Catalog           *catalog.Command   `json:"catalog,omitempty"` // changes the document, the published weights or the quarantine
+	BackendHeartbeat  *BackendHeartbeat  `json:"beat,omitempty"`
+	BackendHeartbeats []BackendHeartbeat `json:"beats,omitempty"` // full heartbeats of back ends, forwarded by a replica
+	Keepalives        []Keepalive        `json:"signs,omitempty"` // unchanged heartbeats of back ends, forwarded by a replica
+	Watch             *Watch             `json:"watch,omitempty"`
+	Document          *DocumentRequest   `json:"document,omitempty"`
 
 	Relay  *relay.Request     `json:"relay,omitempty"`  // from a follower that answers gateways
 	Borrow *allowance.Request `json:"borrow,omitempty"` // from a gateway: requests shares of fleet-wide limits
@@ -112,8 +112,8 @@
 	Routers   []RouterStatus `json:"routers,omitempty"`
 	Engines   []EngineStatus `json:"engines,omitempty"`
 
-	Limits []allowance.State `json:"limits,omitempty"` // fleet-wide limits; from the leader only
-	Named  []allowance.State `json:"named,omitempty"`  // limits advertised by back ends, those with the most rejections; from the leader only
+	Limits           []allowance.State `json:"limits,omitempty"` // fleet-wide limits; from the leader only
+	AdvertisedLimits []allowance.State `json:"named,omitempty"`  // limits advertised by back ends, those with the most rejections; from the leader only
 	// Suspects lists the requests during which more than one back end crashed; from the leader only.
 	Suspects []quarantine.Entry `json:"suspects,omitempty"`
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -80,16 +80,17 @@
 	}
 }
 
-// joinOrFound joins a replica with an empty data folder to an existing group, as a learner. If there is none, it founds
-// a group, provided that this replica is the first founder and all other founders have answered that they have no state.
-func (s *Server) joinOrFound(ctx context.Context) {
+// joinOrCreateGroup joins a replica with an empty data folder to an existing group, as a learner. If there is none, it
+// creates a group, provided that this replica is the first initial member and all others have answered that they have
+// no state.
+func (s *Server) joinOrCreateGroup(ctx context.Context) {
 	for {
-		groupExists, othersEmpty := s.probeFounders(ctx)
+		groupExists, othersEmpty := s.probeInitialMembers(ctx)
 		switch {
 		case groupExists && s.tryJoin(ctx):
 			return
 		case !groupExists && othersEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.InternalAddress:
-			s.inputs <- input{foundGroup: true}
+			s.inputs <- input{createGroup: true}
 			return
 		}
 		select {
@@ -100,7 +101,7 @@
 	}
 }
 
-func (s *Server) probeFounders(ctx context.Context) (groupExists, othersEmpty bool) {
+func (s *Server) probeInitialMembers(ctx context.Context) (groupExists, othersEmpty bool) {
 	othersEmpty = true
 	for _, address := range s.file.Control.Founders {
 		if address == s.file.Control.InternalAddress {
@@ -130,7 +131,7 @@
 	return true
 }
 
-// rejoinWhileLeaderless asks to join as a learner while this replica hears no leader, since the group may have replaced
+// rejoinWhileLeaderless asks to join as a learner while this replica knows no leader, since the group may have replaced
 // it during an outage. The request has no effect for a member.
 func (s *Server) rejoinWhileLeaderless(ctx context.Context) {
 	transport.Every(ctx, rejoinInterval, func() {
@@ -140,15 +141,15 @@
 	})
 }
 
-// hasStateWithoutLeader reports whether this replica has state but hears no leader.
+// hasStateWithoutLeader reports whether this replica has state but knows no leader.
 func (s *Server) hasStateWithoutLeader() bool {
 	return s.queryReplica(func(replica *Replica) bool {
 		return replica.Node().LastIndex() > 0 && replica.Node().LeaderSilent(s.now())
 	})
 }
 
-// foundGroup makes this replica the first voter of a new group.
-func (s *Server) foundGroup() {
+// createGroup makes this replica the first voter of a new group.
+func (s *Server) createGroup() {
 	if s.replica.Node().LastIndex() > 0 {
 		return
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -45,7 +45,7 @@
 	respond     transport.Respond
 	report      *EngineReport
 	hello       transport.Respond
-	foundGroup  bool
+	createGroup bool
 	inspect     func(*Replica)
 	weights     *WeightsResult
 	relayResult *relayResult
@@ -59,7 +59,7 @@
 	cause  string       // why the request failed
 }
 
-// HelloReply tells a replica with an empty data folder whether the answering founder already has state.
+// HelloReply tells a replica with an empty data folder whether the answering replica already has state.
 type HelloReply struct {
 	HasState bool `json:"has_state"`
 }
@@ -75,8 +75,8 @@
 	wasLeader       bool        // last logged leadership; owned by runReplica
 	loggedLevel     level.Level // last logged level in force; owned by runReplica
 	relayFailing    bool        // the last relay request failed; owned by runReplica
-	overLimitLog    limitLogState
-	heldBackLog     quarantineLogState
+	limitLog        limitLogState
+	quarantineLog   quarantineLogState
 	config          Config
 	now             clock.Source // time since the server was created
 	inputs          chan input
@@ -89,7 +89,7 @@
 	group           *Client
 	driver          Driver
 	weightsCalls    chan queuedCall
-	beats           heartbeatBatcher
+	heartbeats      heartbeatBatcher
 
 	mutex    sync.Mutex
 	outboxes map[consensus.ID]chan consensus.Message
@@ -116,8 +116,8 @@
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
 		now: clock.NewSource(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
-		beats:   heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)},
-		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
+		heartbeats: heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)},
+		clients:    map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
 		client: transport.NewClientWithDialTimeout(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
 	}
 	server.group = NewClient(server.client, file.Control.Founders)
@@ -142,7 +142,7 @@
 		Mechanisms: mechanisms, Level: level.Current,
 		ID: s.identity.ID, Name: s.identity.Name, Address: section.InternalAddress, Zone: s.file.Zone, MaxDirectGateways: maxDirectGateways, Timing: timing,
 		Replicas: section.Replicas, SettingsLease: section.SettingsLease, RepairAfter: section.RepairAfter,
-		SnapshotEvery: section.SnapshotEvery, OrderWait: section.WeightsOrderDelay, GatewayTrust: section.GatewayViewTTL, Quota: section.Quota.Policy(), Random: rand.Int64N,
+		SnapshotEvery: section.SnapshotEvery, WeightsOrderDelay: section.WeightsOrderDelay, GatewayViewTTL: section.GatewayViewTTL, Quota: section.Quota.Policy(), Random: rand.Int64N,
 	}, nil
 }
 
@@ -168,7 +168,7 @@
 	workers.Go(func() { s.refreshMembership(run) })
 	workers.Go(func() { s.rejoinWhileLeaderless(run) })
 	if s.replica.Node().LastIndex() == 0 {
-		workers.Go(func() { s.joinOrFound(run) })
+		workers.Go(func() { s.joinOrCreateGroup(run) })
 	}
 	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.InternalAddress), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldDisabledMechanisms, s.config.Mechanisms.Off()))
 	select {
@@ -311,8 +311,8 @@
 	case item.relayResult != nil:
 		s.logRelayChange(item.relayResult)
 		s.replica.ObserveRelay(now, item.relayResult.number, item.relayResult.reply)
-	case item.foundGroup:
-		s.foundGroup()
+	case item.createGroup:
+		s.createGroup()
 	case item.inspect != nil:
 		item.inspect(s.replica)
 	case item.batch != nil:
--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -55,7 +55,7 @@
 // pendingTokens is the true prefill before a new request of a lane, what is under way included.
 func (e *engineNode) pendingTokens(lane core.Lane) int {
 	e.advance()
-	load := e.model.TrueLoad()
+	load := e.model.CurrentLoad()
 	if lane == core.LaneInteractive {
 		return load.InteractiveTokens + e.underWayQuick
 	}
@@ -86,12 +86,12 @@
 	job := &engine.Job{
 		Attempt: action.Attempt, Origin: s.router.zone, Tenant: s.request.request.Tenant, Blocks: action.Blocks,
 		PromptTokens: s.request.request.PromptTokens, MaxTokens: action.MaxTokens, ResumeFrom: action.ResumeFrom, Lane: action.Lane,
-		Incarnation: action.Incarnation, Weights: action.Weights, RelyTokens: action.ExpectedCachedTokens,
+		Incarnation: action.Incarnation, Weights: action.Weights, ExpectedCachedTokens: action.ExpectedCachedTokens,
 		ImportFrom: action.ImportFrom, ImportBlocks: action.ImportBlocks, UserData: s,
 	}
 	switch e.model.Submit(e.run.clock.Now(), job) {
-	case engine.Taken:
-	case engine.TakenWithoutReuse:
+	case engine.Accepted:
+	case engine.AcceptedWithoutReuse:
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 	default:
 		s.router.pass(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Signals: pushback.Signals{Backoff: busyRest}})
@@ -109,7 +109,7 @@
 	for _, output := range e.model.Advance(now) {
 		e.output(output)
 	}
-	due, any := e.model.NextDue()
+	due, any := e.model.NextWakeup()
 	if !any {
 		return
 	}
@@ -141,7 +141,7 @@
 func (r *run) deepestHolder(chain []prefix.Hash) (string, int) {
 	source, deepest := "", 0
 	for _, e := range r.engines {
-		if held := e.model.Holds(chain); !e.down && held > deepest {
+		if held := e.model.CachedPrefix(chain); !e.down && held > deepest {
 			source, deepest = e.name, held
 		}
 	}
@@ -158,7 +158,7 @@
 	}
 	for _, e := range r.engines {
 		if e.name == source && !e.down {
-			return e.model.Export(r.clock.Now(), chain)
+			return e.model.ExportablePrefix(r.clock.Now(), chain)
 		}
 	}
 	return 0
--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -20,7 +20,7 @@
 	return chain
 }
 
-func jobOf(attempt int, chain []prefix.Hash, tokens int) *Job {
+func newTestJob(attempt int, chain []prefix.Hash, tokens int) *Job {
 	return &Job{
 		Attempt: core.AttemptID(attempt), Origin: "router", Blocks: chain, PromptTokens: len(chain) * testBlockTokens,
 		MaxTokens: tokens, Incarnation: 1, Weights: "w1",
@@ -31,18 +31,18 @@
 	return New("engine", 1, "w1", DefaultRates(), testBlockTokens, 1, guard.Set{})
 }
 
-// TestNextDueIsEndOfStepDuringCopy: a copy that ends while a step runs must not make the model due again and
+// TestNextWakeupIsEndOfStepDuringImport: a copy that ends while a step runs must not make the model due again and
 // again at a time when it can do nothing; Advance would never return.
-func TestNextDueIsEndOfStepDuringCopy(t *testing.T) {
+func TestNextWakeupIsEndOfStepDuringImport(t *testing.T) {
 	model := newTestModel()
 	model.Import = func(string, []prefix.Hash) int { return 4 }
-	model.Submit(0, jobOf(1, chainOf(1, 100), 1))
+	model.Submit(0, newTestJob(1, chainOf(1, 100), 1))
 	model.Advance(0)
-	copying := jobOf(2, chainOf(2, 5), 1)
-	copying.ImportBlocks, copying.ImportFrom = 4, "other"
-	model.running = append(model.running, &sequence{job: copying, copying: true, readyAt: time.Millisecond, toDo: 1})
+	importing := newTestJob(2, chainOf(2, 5), 1)
+	importing.ImportBlocks, importing.ImportFrom = 4, "other"
+	model.running = append(model.running, &sequence{job: importing, importing: true, importEndsAt: time.Millisecond, promptTokensLeft: 1})
 	model.now = 2 * time.Millisecond
-	if due, _ := model.NextDue(); due != model.stepEnd {
+	if due, _ := model.NextWakeup(); due != model.stepEnd {
 		t.Fatalf("due at %v while the step ends at %v", due, model.stepEnd)
 	}
 }
@@ -50,28 +50,28 @@
 func runUntilIdle(model *Model) []Output {
 	var all []Output
 	for {
-		due, any := model.NextDue()
-		if !any {
+		wakeup, scheduled := model.NextWakeup()
+		if !scheduled {
 			return all
 		}
-		all = append(all, model.Advance(due)...)
+		all = append(all, model.Advance(wakeup)...)
 	}
 }
 
-func TestSecondPromptReusesThePrefix(t *testing.T) {
+func TestSecondPromptReusesCachedPrefix(t *testing.T) {
 	model := newTestModel()
-	model.Submit(0, jobOf(1, chainOf(1, 20), 3))
+	model.Submit(0, newTestJob(1, chainOf(1, 20), 3))
 	runUntilIdle(model)
-	model.Submit(model.now, jobOf(2, chainOf(1, 20), 3))
+	model.Submit(model.now, newTestJob(2, chainOf(1, 20), 3))
 	outputs := runUntilIdle(model)
 	if outputs[0].Kind != OutputStarted || outputs[0].Cached != 20*testBlockTokens {
 		t.Fatalf("started with %d cached tokens, want %d", outputs[0].Cached, 20*testBlockTokens)
 	}
 }
 
-func TestStreamIsWholeAndInOrder(t *testing.T) {
+func TestResumedStreamIsCompleteAndOrdered(t *testing.T) {
 	model := newTestModel()
-	resumed := jobOf(1, chainOf(1, 3), 9)
+	resumed := newTestJob(1, chainOf(1, 3), 9)
 	resumed.ResumeFrom = 4
 	model.Submit(0, resumed)
 	next := 4
@@ -88,13 +88,13 @@
 	}
 }
 
-func TestOtherLifeIsNotReused(t *testing.T) {
+func TestCacheIsNotReusedAcrossIncarnations(t *testing.T) {
 	model := newTestModel()
-	model.Submit(0, jobOf(1, chainOf(1, 20), 1))
+	model.Submit(0, newTestJob(1, chainOf(1, 20), 1))
 	runUntilIdle(model)
-	old := jobOf(2, chainOf(1, 20), 1)
-	old.Incarnation = 7
-	if result := model.Submit(model.now, old); result != TakenWithoutReuse {
+	stale := newTestJob(2, chainOf(1, 20), 1)
+	stale.Incarnation = 7
+	if result := model.Submit(model.now, stale); result != AcceptedWithoutReuse {
 		t.Fatalf("result %v, want TakenWithoutReuse", result)
 	}
 	if outputs := runUntilIdle(model); outputs[0].Cached != 0 {
@@ -102,28 +102,28 @@
 	}
 }
 
-func TestCancelledJobGivesNothingMore(t *testing.T) {
+func TestCancelledJobProducesNoOutput(t *testing.T) {
 	model := newTestModel()
-	model.Submit(0, jobOf(1, chainOf(1, 20), 50))
+	model.Submit(0, newTestJob(1, chainOf(1, 20), 50))
 	model.Advance(200 * time.Millisecond)
 	model.Cancel("router", 1)
-	if left := runUntilIdle(model); len(left) != 0 || model.Busy() != 0 {
-		t.Fatalf("%d outputs and %d jobs after the cancel", len(left), model.Busy())
+	if outputs := runUntilIdle(model); len(outputs) != 0 || model.UnfinishedJobs() != 0 {
+		t.Fatalf("%d outputs and %d jobs after the cancel", len(outputs), model.UnfinishedJobs())
 	}
 }
 
-func TestBackendsThatLeaveOrLoadRefuse(t *testing.T) {
+func TestDrainingEngineRejectsJobs(t *testing.T) {
 	model := newTestModel()
-	model.SetLeaving(true)
-	if result := model.Submit(0, jobOf(1, chainOf(1, 2), 1)); result != RefusedLeaving {
+	model.SetDraining(true)
+	if result := model.Submit(0, newTestJob(1, chainOf(1, 2), 1)); result != RejectedDraining {
 		t.Fatalf("result %v, want RefusedLeaving", result)
 	}
 }
 
-// TestResumeAtTheEndGivesOnlyTheEndMarker: when the end marker was lost, a resume must not make another token.
-func TestResumeAtTheEndGivesOnlyTheEndMarker(t *testing.T) {
+// TestResumeAfterLastTokenProducesOnlyEndMarker: when the end marker was lost, a resume must not make another token.
+func TestResumeAfterLastTokenProducesOnlyEndMarker(t *testing.T) {
 	model := newTestModel()
-	resumed := jobOf(1, chainOf(1, 3), 9)
+	resumed := newTestJob(1, chainOf(1, 3), 9)
 	resumed.ResumeFrom = 9
 	model.Submit(0, resumed)
 	for _, output := range runUntilIdle(model) {
--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -22,13 +22,13 @@
 	"kitetiller/internal/lab/traffic"
 )
 
-const maximumLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // completion sends one prompt, streamed or not, and checks the answer.
 func (r *runner) completion(ctx context.Context, number int, prompt traffic.Prompt, random *rand.Rand) {
 	body := api.CompletionRequest{
 		Model: r.options.Deployment.Model.Name, Prompt: prompt.Text, MaxTokens: prompt.MaxTokens,
-		Stream: random.Float64() < streamShare, Seed: uint64(number) + 1,
+		Stream: random.Float64() < streamRatio, Seed: uint64(number) + 1,
 	}
 	path := "/v1/completions"
 	if random.IntN(2) == 0 {
@@ -36,42 +36,42 @@
 		body.Messages, body.Prompt = []api.ChatMessage{{Role: "user", Content: prompt.Text}}, ""
 	}
 	expect := expectation{digest: xxhash.Sum64String(body.Text()), seed: body.Seed, tokens: body.MaxTokens}
-	bounded, cancel := context.WithCancel(ctx)
+	requestCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if r.options.HangUps && body.Stream && random.Float64() < hangUpShare {
-		expect.hangUpAfter = 1 + random.IntN(5)
+	if r.options.ClientDisconnects && body.Stream && random.Float64() < disconnectRatio {
+		expect.disconnectAfter = 1 + random.IntN(5)
 	}
-	r.count(func(result *Result) { result.Requests++ })
+	r.updateResult(func(result *Result) { result.Requests++ })
 	started := time.Now()
 	headers := map[string]string{}
 	if prompt.Short {
 		headers[api.HeaderPriority] = "interactive"
 	}
-	response, err := r.send(bounded, r.router(random), path, r.key(random), headers, mustJSON(body))
+	response, err := r.send(requestCtx, r.randomRouter(random), path, r.randomKey(random), headers, mustJSON(body))
 	if err != nil {
-		r.count(func(result *Result) { result.Broken++ })
+		r.updateResult(func(result *Result) { result.BrokenConnections++ })
 		return
 	}
 	defer response.Body.Close()
 	switch {
 	case response.StatusCode != http.StatusOK:
-		r.refusal(response)
+		r.recordRejection(response)
 	case body.Stream:
 		r.checkStream(response.Body, expect, started)
 	default:
-		r.checkWhole(response.Body, expect, started)
+		r.checkUnstreamed(response.Body, expect, started)
 	}
 }
 
 // expectation is what the answer to a prompt must be.
 type expectation struct {
-	digest      uint64
-	seed        uint64
-	tokens      int
-	hangUpAfter int // tokens; 0 never
+	digest          uint64
+	seed            uint64
+	tokens          int
+	disconnectAfter int // tokens; 0 never
 }
 
-func (e expectation) text(index int) string { return standin.TokenText(e.digest, e.seed, index) }
+func (e expectation) tokenText(index int) string { return standin.TokenText(e.digest, e.seed, index) }
 
 func mustJSON(value any) []byte {
 	data, err := json.Marshal(value)
@@ -84,8 +84,8 @@
 // send posts a body to a router. A router that takes no connections, or says that it is stopping, is passed over for
 // another one, as callers with a list of routers do.
 func (r *runner) send(ctx context.Context, router, path, key string, headers map[string]string, body []byte) (*http.Response, error) {
-	for _, other := range append([]string{router}, r.options.Routers...) {
-		response, err := r.sendTo(ctx, other, path, key, headers, body)
+	for _, address := range append([]string{router}, r.options.Routers...) {
+		response, err := r.sendTo(ctx, address, path, key, headers, body)
 		if err != nil && !errors.Is(err, syscall.ECONNREFUSED) {
 			return nil, err
 		}
@@ -114,12 +114,12 @@
 	return r.client.Do(request)
 }
 
-// refusal counts an error answer.
-func (r *runner) refusal(response *http.Response) api.Problem {
+// recordRejection counts an error answer.
+func (r *runner) recordRejection(response *http.Response) api.Problem {
 	var problem api.Problem
 	_ = json.NewDecoder(response.Body).Decode(&problem) // an unreadable one counts as a refusal without reason
-	r.count(func(result *Result) {
-		result.Refused++
+	r.updateResult(func(result *Result) {
+		result.Rejected++
 		result.Reasons[strings.TrimPrefix(problem.Type, "urn:kitetiller:")+"/"+string(problem.Run)]++
 	})
 	return problem
@@ -128,7 +128,7 @@
 // checkStream reads server-sent events and checks each token.
 func (r *runner) checkStream(body io.Reader, expect expectation, started time.Time) {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(make([]byte, 0, 4096), maximumLine)
+	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	next, failed := 0, false
 	position := 0
 	for scanner.Scan() {
@@ -141,42 +141,42 @@
 		switch {
 		case !found:
 		case data == api.StreamEnd:
-			r.streamEnded(next, expect)
+			r.recordStreamEnd(next, expect)
 			return
 		case failed:
-			r.count(func(result *Result) { result.Errors++ })
+			r.updateResult(func(result *Result) { result.ErrorEvents++ })
 			return
 		default:
 			if next == 0 {
-				r.sawFirst(started)
+				r.recordFirstToken(started)
 			}
 			next = r.checkChunk(data, position, next, expect)
-			if expect.hangUpAfter > 0 && next >= expect.hangUpAfter {
-				r.count(func(result *Result) { result.HungUp++ })
+			if expect.disconnectAfter > 0 && next >= expect.disconnectAfter {
+				r.updateResult(func(result *Result) { result.ClientDisconnects++ })
 				return
 			}
 		}
 	}
-	r.count(func(result *Result) {
+	r.updateResult(func(result *Result) {
 		if scanner.Err() != nil {
-			result.Broken++
+			result.BrokenConnections++
 		} else {
 			result.Lost++
 		}
 	})
 }
 
-func (r *runner) sawFirst(started time.Time) {
+func (r *runner) recordFirstToken(started time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	_ = r.first.RecordValue(time.Since(started).Microseconds()) // beyond the range only after the timeout
+	_ = r.firstToken.RecordValue(time.Since(started).Microseconds()) // beyond the range only after the timeout
 }
 
 // checkChunk checks one token's position and text and returns the next position.
 func (r *runner) checkChunk(data string, position, next int, expect expectation) int {
 	var chunk api.CompletionResponse
 	if json.Unmarshal([]byte(data), &chunk) != nil || len(chunk.Choices) != 1 {
-		r.count(func(result *Result) { result.WrongAnswer++ })
+		r.updateResult(func(result *Result) { result.WrongAnswer++ })
 		return next
 	}
 	choice := chunk.Choices[0]
@@ -187,21 +187,21 @@
 	if choice.Delta != nil {
 		text = choice.Delta.Content
 	}
-	r.count(func(result *Result) {
+	r.updateResult(func(result *Result) {
 		switch {
 		case position < next:
 			result.Duplicated++
 		case position > next:
 			result.OutOfOrder++
-		case text != expect.text(position):
+		case text != expect.tokenText(position):
 			result.WrongAnswer++
 		}
 	})
 	return max(next, position+1)
 }
 
-func (r *runner) streamEnded(tokens int, expect expectation) {
-	r.count(func(result *Result) {
+func (r *runner) recordStreamEnd(tokens int, expect expectation) {
+	r.updateResult(func(result *Result) {
 		if tokens != expect.tokens {
 			result.Lost++
 			return
@@ -210,29 +210,29 @@
 	})
 }
 
-// checkWhole compares a whole answer.
-func (r *runner) checkWhole(body io.Reader, expect expectation, started time.Time) {
+// checkUnstreamed compares a whole answer.
+func (r *runner) checkUnstreamed(body io.Reader, expect expectation, started time.Time) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		r.count(func(result *Result) { result.Broken++ })
+		r.updateResult(func(result *Result) { result.BrokenConnections++ })
 		return
 	}
-	var answer api.CompletionResponse
-	var wanted strings.Builder
+	var response api.CompletionResponse
+	var want strings.Builder
 	for i := range expect.tokens {
-		wanted.WriteString(expect.text(i))
+		want.WriteString(expect.tokenText(i))
 	}
-	right := json.Unmarshal(data, &answer) == nil && len(answer.Choices) == 1
-	if right {
-		text := answer.Choices[0].Text
-		if answer.Choices[0].Message != nil {
-			text = answer.Choices[0].Message.Content
+	correct := json.Unmarshal(data, &response) == nil && len(response.Choices) == 1
+	if correct {
+		text := response.Choices[0].Text
+		if response.Choices[0].Message != nil {
+			text = response.Choices[0].Message.Content
 		}
-		right = text == wanted.String()
+		correct = text == want.String()
 	}
 	_ = started // whole answers have no first token of their own
-	r.count(func(result *Result) {
-		if right {
+	r.updateResult(func(result *Result) {
+		if correct {
 			result.Complete++
 		} else {
 			result.WrongAnswer++
--- a/internal/lab/standin/answer.go
+++ b/internal/lab/standin/answer.go
@@ -22,8 +22,8 @@
 	return fmt.Sprintf("%06x ", xxhash.Sum64(buffer[:])&0xffffff)
 }
 
-// ServiceAnswer returns the answer of a small service to a body.
-func ServiceAnswer(body []byte) []byte {
+// ServiceResponse returns the answer of a small service to a body.
+func ServiceResponse(body []byte) []byte {
 	return fmt.Appendf(nil, `{"confirmed":"%016x"}`, xxhash.Sum64(body))
 }
 
@@ -35,11 +35,11 @@
 
 // readJSON decodes a body, or answers 400.
 func readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maximumBodyBytes)).Decode(target); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(target); err != nil {
 		http.Error(w, "the body is not the expected JSON: "+err.Error(), http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-const maximumBodyBytes = 64 << 20
+const maxBodyBytes = 64 << 20
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	jobRing       = 4096 // tokens that may wait for a slow router before the job is cancelled
-	idleAdvance   = 50 * time.Millisecond
-	busyAdvice    = 200 * time.Millisecond
-	kvTimeout     = time.Second
-	fetchTimeout  = 30 * time.Second
-	unlimitedLoad = time.Hour // the weight store decides when a load ends
+	outputQueueSize    = 4096 // tokens that may wait for a slow router before the job is cancelled
+	maxAdvanceInterval = 50 * time.Millisecond
+	busyRetryDelay     = 200 * time.Millisecond
+	vaultTimeout       = time.Second
+	fetchTimeout       = 30 * time.Second
+	maxLoadTime        = time.Hour // the weight store decides when a load ends
 )
 
 // EngineConfig is what an engine process needs to start.
@@ -54,8 +54,8 @@
 	model *engine.Model
 }
 
-// jobState joins a job of the model to the response that streams it.
-type jobState struct {
+// jobStream joins a job of the model to the response that streams it.
+type jobStream struct {
 	outputs chan engine.Output
 }
 
@@ -67,7 +67,7 @@
 		client: transport.NewClient("", nil),
 		model:  engine.New(config.Name, incarnation, config.Weights, config.Rates, config.BlockTokens, incarnation, guard.Set{}),
 	}
-	e.model.Import = e.importFrom
+	e.model.Import = e.importablePrefix
 	return e
 }
 
@@ -81,13 +81,13 @@
 	mux.HandleFunc("GET "+api.PathCache, e.serveCache)
 	mux.HandleFunc("POST "+api.PathOrders, e.serveOrder)
 	mux.HandleFunc("POST "+api.PathKVMatch, e.serveMatch)
-	mux.HandleFunc("POST /v1/leave", e.serveLeave)
-	go e.advance(ctx)
+	mux.HandleFunc("POST /v1/leave", e.serveDrain)
+	go e.runModel(ctx)
 	return serve(ctx, e.config.Listen, mux, e.log)
 }
 
-// advance is the thread that runs the model in real time.
-func (e *Engine) advance(ctx context.Context) {
+// runModel is the thread that runs the model in real time.
+func (e *Engine) runModel(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -97,29 +97,29 @@
 		case <-e.wake:
 		case <-timer.C:
 		}
-		timer.Reset(e.step())
+		timer.Reset(e.advanceModel())
 	}
 }
 
-func (e *Engine) step() time.Duration {
+func (e *Engine) advanceModel() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, output := range e.model.Advance(e.now()) {
-		state := output.Job.UserData.(*jobState)
+		stream := output.Job.UserData.(*jobStream)
 		select {
-		case state.outputs <- output:
+		case stream.outputs <- output:
 		default:
 			e.model.Cancel(output.Job.Origin, output.Job.Attempt)
 		}
 	}
-	due, any := e.model.NextDue()
-	if !any {
-		return idleAdvance
+	due, scheduled := e.model.NextWakeup()
+	if !scheduled {
+		return maxAdvanceInterval
 	}
-	return max(0, min(due-e.now(), idleAdvance))
+	return max(0, min(due-e.now(), maxAdvanceInterval))
 }
 
-func (e *Engine) nudge() {
+func (e *Engine) wakeModel() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -131,37 +131,37 @@
 	if !readJSON(w, r, &request) {
 		return
 	}
-	state := &jobState{outputs: make(chan engine.Output, jobRing)}
+	state := &jobStream{outputs: make(chan engine.Output, outputQueueSize)}
 	job := &engine.Job{
 		Attempt: request.Attempt, Origin: request.Router, Tenant: request.Tenant, Blocks: request.Blocks,
 		PromptTokens: request.PromptTokens, MaxTokens: request.MaxTokens, ResumeFrom: request.ResumeFrom,
-		Lane: request.Lane, Incarnation: request.Incarnation, Weights: request.Weights, RelyTokens: request.ExpectedCachedTokens,
+		Lane: request.Lane, Incarnation: request.Incarnation, Weights: request.Weights, ExpectedCachedTokens: request.ExpectedCachedTokens,
 		ImportFrom: request.ImportFrom, ImportBlocks: request.ImportBlocks, UserData: state,
 	}
 	e.mutex.Lock()
 	result := e.model.Submit(e.now(), job)
 	incarnation := e.model.Incarnation
 	e.mutex.Unlock()
-	if refusal, refused := refusalOf(result); refused {
-		refusal.Incarnation = incarnation
-		writeJSON(w, http.StatusServiceUnavailable, refusal)
+	if rejection, rejected := rejectionOf(result); rejected {
+		rejection.Incarnation = incarnation
+		writeJSON(w, http.StatusServiceUnavailable, rejection)
 		return
 	}
-	e.nudge()
-	e.stream(w, r, request, job, result == engine.TakenWithoutReuse, incarnation)
+	e.wakeModel()
+	e.stream(w, r, request, job, result == engine.AcceptedWithoutReuse, incarnation)
 }
 
-// refusalOf returns the answer to a job that was not taken.
-func refusalOf(result engine.SubmitResult) (api.BackendRejection, bool) {
-	refusal := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyAdvice.Milliseconds()}
+// rejectionOf returns the answer to a job that was not taken.
+func rejectionOf(result engine.SubmitResult) (api.BackendRejection, bool) {
+	rejection := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyRetryDelay.Milliseconds()}
 	switch result {
-	case engine.RefusedLeaving:
-		refusal.Draining = true
-		return refusal, true
-	case engine.RefusedBusy, engine.RefusedLoading:
-		return refusal, true
+	case engine.RejectedDraining:
+		rejection.Draining = true
+		return rejection, true
+	case engine.RejectedQueueFull, engine.RejectedLoading:
+		return rejection, true
 	}
-	return refusal, false
+	return rejection, false
 }
 
 // stream writes a job's outputs as server-sent events; a closed connection cancels the job.
@@ -169,7 +169,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(w)
 	digest := xxhash.Sum64String(request.Prompt)
-	outputs := job.UserData.(*jobState).outputs
+	outputs := job.UserData.(*jobStream).outputs
 	for {
 		select {
 		case <-r.Context().Done():
@@ -178,7 +178,7 @@
 			e.mutex.Unlock()
 			return
 		case output := <-outputs:
-			event := e.eventOf(output, request, digest)
+			event := e.toEvent(output, request, digest)
 			if output.Kind == engine.OutputStarted {
 				event.Incarnation, event.NoReuse = incarnation, noReuse
 			}
@@ -196,7 +196,7 @@
 	}
 }
 
-func (e *Engine) eventOf(output engine.Output, request api.GenerateRequest, digest uint64) api.GenerateEvent {
+func (e *Engine) toEvent(output engine.Output, request api.GenerateRequest, digest uint64) api.GenerateEvent {
 	event := api.GenerateEvent{Attempt: request.Attempt, Index: output.Index}
 	switch output.Kind {
 	case engine.OutputStarted:
@@ -205,17 +205,17 @@
 		event.Kind, event.Text = api.GenerateToken, TokenText(digest, request.Seed, output.Index)
 	case engine.OutputDone:
 		event.Kind = api.GenerateDone
-		event.StoredBlocks = e.keep(request)
+		event.StoredBlocks = e.storeInVault(request)
 	}
 	return event
 }
 
-// keep stores the asked-for prefix in the vault.
-func (e *Engine) keep(request api.GenerateRequest) int {
+// storeInVault stores the asked-for prefix in the vault.
+func (e *Engine) storeInVault(request api.GenerateRequest) int {
 	if request.VaultBlocks == 0 || request.Vault == "" {
 		return 0
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), kvTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), vaultTimeout)
 	defer cancel()
 	blocks := request.Blocks[:min(request.VaultBlocks, len(request.Blocks))]
 	var reply api.KVReply
@@ -225,10 +225,10 @@
 	return reply.CachedBlocks
 }
 
-// importFrom asks another engine or the vault how much of a chain it can give. It is called with the mutex
+// importablePrefix asks another engine or the vault how much of a chain it can give. It is called with the mutex
 // held, so it is bounded tightly.
-func (e *Engine) importFrom(source string, chain []prefix.Hash) int {
-	ctx, cancel := context.WithTimeout(context.Background(), busyAdvice)
+func (e *Engine) importablePrefix(source string, chain []prefix.Hash) int {
+	ctx, cancel := context.WithTimeout(context.Background(), busyRetryDelay)
 	defer cancel()
 	var reply api.KVReply
 	if err := e.client.Post(ctx, source, api.PathKVMatch, api.KVRequest{Blocks: chain}, &reply); err != nil {
@@ -269,14 +269,14 @@
 		writeJSON(w, http.StatusOK, api.KVReply{})
 		return
 	}
-	held := e.model.Export(e.now(), request.Blocks)
+	cached := e.model.ExportablePrefix(e.now(), request.Blocks)
 	e.mutex.Unlock()
-	writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: held})
+	writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: cached})
 }
 
-func (e *Engine) serveLeave(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveDrain(w http.ResponseWriter, _ *http.Request) {
 	e.mutex.Lock()
-	e.model.SetLeaving(true)
+	e.model.SetDraining(true)
 	e.mutex.Unlock()
 	w.WriteHeader(http.StatusOK)
 }
@@ -288,18 +288,18 @@
 		return
 	}
 	e.mutex.Lock()
-	loadingBefore := e.model.Loading()
-	accepted := e.model.Order(e.now(), call, unlimitedLoad)
-	begins := !loadingBefore && e.model.Loading()
+	wasLoading := e.model.Loading()
+	accepted := e.model.HandleCall(e.now(), call, maxLoadTime)
+	loadStarted := !wasLoading && e.model.Loading()
 	fence := e.model.Fence()
 	e.mutex.Unlock()
-	if begins {
-		go e.load(call.Order.Weights)
+	if loadStarted {
+		go e.loadWeights(call.Order.Weights)
 	}
 	writeJSON(w, http.StatusOK, api.OrderReply{Accepted: accepted, Fence: fence})
 }
 
-func (e *Engine) load(weights string) {
+func (e *Engine) loadWeights(weights string) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	err := e.client.Post(ctx, e.config.WeightStore, api.PathFetch, api.FetchRequest{Engine: e.config.Name, Weights: weights}, nil)
@@ -307,10 +307,10 @@
 	defer e.mutex.Unlock()
 	if err != nil {
 		e.log.Warn("weights not fetched; the old ones stay", zap.String("weights", weights), zap.Error(err))
-		e.model.FailLoad()
+		e.model.AbortLoad()
 		return
 	}
 	e.model.CompleteLoad(e.now())
-	e.nudge()
+	e.wakeModel()
 	e.log.Info("weights loaded", zap.String("weights", weights))
 }
--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -17,22 +17,22 @@
 
 // VaultConfig is what a KV store process needs to start.
 type VaultConfig struct {
-	Listen string
-	Blocks int // blocks kept; the least recently used go first
+	Listen    string
+	MaxBlocks int // blocks kept; the least recently used go first
 }
 
 // Vault is a store of kept KV cache.
 type Vault struct {
-	config VaultConfig
-	log    *zap.Logger
-	mutex  sync.Mutex
-	places map[prefix.Hash]*list.Element
-	order  *list.List // front is the oldest; values are prefix.Hash
+	config   VaultConfig
+	log      *zap.Logger
+	mutex    sync.Mutex
+	elements map[prefix.Hash]*list.Element
+	order    *list.List // front is the oldest; values are prefix.Hash
 }
 
 // NewVault returns an empty store.
 func NewVault(config VaultConfig, log *zap.Logger) *Vault {
-	return &Vault{config: config, log: log, places: map[prefix.Hash]*list.Element{}, order: list.New()}
+	return &Vault{config: config, log: log, elements: map[prefix.Hash]*list.Element{}, order: list.New()}
 }
 
 // Run serves until ctx ends.
@@ -47,7 +47,7 @@
 	mux.HandleFunc("POST "+api.PathKVKeep, func(w http.ResponseWriter, r *http.Request) {
 		var request api.KVRequest
 		if readJSON(w, r, &request) {
-			v.Keep(request.Blocks)
+			v.Store(request.Blocks)
 			writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: v.Match(request.Blocks)})
 		}
 	})
@@ -59,70 +59,70 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	matched := 0
-	for matched < len(chain) && v.places[chain[matched]] != nil {
+	for matched < len(chain) && v.elements[chain[matched]] != nil {
 		matched++
 	}
 	for i := matched - 1; i >= 0; i-- {
-		v.order.MoveToBack(v.places[chain[i]])
+		v.order.MoveToBack(v.elements[chain[i]])
 	}
 	return matched
 }
 
-// Keep stores the blocks of a chain.
-func (v *Vault) Keep(chain []prefix.Hash) {
+// Store stores the blocks of a chain.
+func (v *Vault) Store(chain []prefix.Hash) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	for _, hash := range chain {
-		if v.places[hash] == nil {
-			v.places[hash] = v.order.PushBack(hash)
+		if v.elements[hash] == nil {
+			v.elements[hash] = v.order.PushBack(hash)
 		}
 	}
-	for v.order.Len() > v.config.Blocks {
+	for v.order.Len() > v.config.MaxBlocks {
 		oldest := v.order.Front()
-		delete(v.places, oldest.Value.(prefix.Hash))
+		delete(v.elements, oldest.Value.(prefix.Hash))
 		v.order.Remove(oldest)
 	}
 }
 
-// WeightsConfig is what a weight store process needs to start.
-type WeightsConfig struct {
-	Listen     string
-	LoadTime   time.Duration // of one engine alone
-	Concurrent int           // engines served at full speed
+// WeightStoreConfig is what a weight store process needs to start.
+type WeightStoreConfig struct {
+	Listen         string
+	LoadTime       time.Duration // of one engine alone
+	FullSpeedLimit int           // engines served at full speed
 }
 
-// Weights is the rate-limited weight store.
-type Weights struct {
-	config WeightsConfig
-	log    *zap.Logger
-	mutex  sync.Mutex
-	active int
+// WeightStore is the rate-limited weight store.
+type WeightStore struct {
+	config      WeightStoreConfig
+	log         *zap.Logger
+	mutex       sync.Mutex
+	activeLoads int
 }
 
-// NewWeights returns a store.
-func NewWeights(config WeightsConfig, log *zap.Logger) *Weights {
-	return &Weights{config: config, log: log}
+// NewWeightStore returns a store.
+func NewWeightStore(config WeightStoreConfig, log *zap.Logger) *WeightStore {
+	return &WeightStore{config: config, log: log}
 }
 
 // Run serves until ctx ends.
-func (s *Weights) Run(ctx context.Context) error {
+func (s *WeightStore) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+api.PathFetch, s.serveFetch)
 	return serve(ctx, s.config.Listen, mux, s.log)
 }
 
-func (s *Weights) serveFetch(w http.ResponseWriter, r *http.Request) {
+func (s *WeightStore) serveFetch(w http.ResponseWriter, r *http.Request) {
 	var request api.FetchRequest
 	if !readJSON(w, r, &request) {
 		return
 	}
 	s.mutex.Lock()
-	s.active++
-	length := engine.LoadTime(s.config.LoadTime, s.active, s.config.Concurrent)
+	s.activeLoads++
+	duration := engine.ContendedLoadTime(s.config.LoadTime, s.activeLoads, s.config.FullSpeedLimit)
 	s.mutex.Unlock()
-	time.Sleep(length)
+	time.Sleep(duration)
 	s.mutex.Lock()
-	s.active--
+	s.activeLoads--
 	s.mutex.Unlock()
 	w.WriteHeader(http.StatusOK)
 }
@@ -139,32 +139,32 @@
 	config  PlatformConfig
 	log     *zap.Logger
 	mutex   sync.Mutex
-	history []listing
+	history []snapshot
 }
 
-// listing is the list as of a time.
-type listing struct {
+// snapshot is the list as of a time.
+type snapshot struct {
 	at       time.Time
 	machines []core.Machine
 }
 
 // NewPlatform returns a list that shows its first content without lag.
 func NewPlatform(config PlatformConfig, log *zap.Logger) *Platform {
-	return &Platform{config: config, log: log, history: []listing{{machines: config.Machines}}}
+	return &Platform{config: config, log: log, history: []snapshot{{machines: config.Machines}}}
 }
 
 // Run serves until ctx ends.
 func (p *Platform) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathMachines, func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, http.StatusOK, api.MachinesReply{Machines: p.shown(time.Now())})
+		writeJSON(w, http.StatusOK, api.MachinesReply{Machines: p.laggedMachines(time.Now())})
 	})
-	mux.HandleFunc("POST "+api.PathMachines, p.serveEdit)
+	mux.HandleFunc("POST "+api.PathMachines, p.serveMachineEdit)
 	return serve(ctx, p.config.Listen, mux, p.log)
 }
 
-// shown returns the newest list that is older than the lag.
-func (p *Platform) shown(now time.Time) []core.Machine {
+// laggedMachines returns the newest list that is older than the lag.
+func (p *Platform) laggedMachines(now time.Time) []core.Machine {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for len(p.history) > 1 && now.Sub(p.history[1].at) >= p.config.Lag {
@@ -173,14 +173,14 @@
 	return p.history[0].machines
 }
 
-func (p *Platform) serveEdit(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) serveMachineEdit(w http.ResponseWriter, r *http.Request) {
 	var edit api.MachineEdit
 	if !readJSON(w, r, &edit) {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	var next []core.Machine
+	var machines []core.Machine
 	for _, machine := range p.history[len(p.history)-1].machines {
 		if machine.Name == edit.Name {
 			if edit.Removed {
@@ -188,8 +188,8 @@
 			}
 			machine.Leaving = edit.Leaving
 		}
-		next = append(next, machine)
+		machines = append(machines, machine)
 	}
-	p.history = append(p.history, listing{at: time.Now(), machines: next})
+	p.history = append(p.history, snapshot{at: time.Now(), machines: machines})
 	w.WriteHeader(http.StatusOK)
 }
