--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -26,8 +26,8 @@
 	underWayQuick int // the same for the interactive lane
 }
 
-// sending joins a job to the router and the request it belongs to.
-type sending struct {
+// attempt joins a job to the router and the request it belongs to.
+type attempt struct {
 	router  *routerNode
 	request *pending
 	attempt core.AttemptID
@@ -62,7 +62,7 @@
 	return load.WaitingTokens + e.underWay
 }
 
-func (e *engineNode) count(s *sending, sign int) {
+func (e *engineNode) count(s *attempt, sign int) {
 	e.underWay += sign * s.tokens
 	if s.lane == core.LaneInteractive {
 		e.underWayQuick += sign * s.tokens
@@ -73,7 +73,7 @@
 const busyRest = 100 * time.Millisecond
 
 // arrive takes a job when it has come over the network.
-func (e *engineNode) arrive(action core.ActionDispatch, s *sending) {
+func (e *engineNode) arrive(action core.ActionDispatch, s *attempt) {
 	e.count(s, -1)
 	if s.over {
 		return
@@ -122,7 +122,7 @@
 }
 
 func (e *engineNode) output(output engine.Output) {
-	s := output.Job.UserData.(*sending)
+	s := output.Job.UserData.(*attempt)
 	event := core.EventAttempt{Index: output.Index, Cached: output.Cached}
 	switch output.Kind {
 	case engine.OutputStarted:
--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -76,7 +76,7 @@
 }
 
 // started counts reuse when an engine begins a job.
-func (m *measure) started(now time.Duration, s *sending, output engine.Output) {
+func (m *measure) started(now time.Duration, s *attempt, output engine.Output) {
 	again, elsewhere := 0, 0
 	chain := output.Job.Blocks
 	first := output.Cached / m.run.options.grain()
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -25,7 +25,7 @@
 	core     *core.Core
 	alarm    vtime.Alarm
 	waiting  map[core.RequestID]*pending
-	sendings map[core.AttemptID]*sending
+	sendings map[core.AttemptID]*attempt
 	targets  map[core.AttemptID]*engineNode
 	nextID   core.RequestID
 	unsaid   []said
@@ -54,7 +54,7 @@
 		}
 	}
 	node := &routerNode{run: r, zone: zone, waiting: map[core.RequestID]*pending{},
-		sendings: map[core.AttemptID]*sending{}, targets: map[core.AttemptID]*engineNode{}}
+		sendings: map[core.AttemptID]*attempt{}, targets: map[core.AttemptID]*engineNode{}}
 	node.core = core.New(core.Config{
 		Router: zone, Zone: zone, Seed: seed, BlockTokens: r.options.grain(), IndexLimit: indexLimit,
 		ZoneLatency: latency, Vault: vaultName, ImportRate: r.rates.ImportTokensPerSecond, Placer: placerFor(r.policy, r),
@@ -140,7 +140,7 @@
 func (n *routerNode) dispatch(action core.ActionDispatch) {
 	request := n.waiting[action.ID]
 	e := n.run.byName[action.Backend]
-	s := &sending{router: n, request: request, attempt: action.Attempt, lane: action.Lane,
+	s := &attempt{router: n, request: request, attempt: action.Attempt, lane: action.Lane,
 		tokens: max(1, request.request.PromptTokens-action.ExpectedCachedTokens)}
 	if action.StoreInVault {
 		request.keep = action.Blocks[:action.VaultBlocks]
@@ -152,7 +152,7 @@
 }
 
 // reply sends an event of an attempt back to the router.
-func (n *routerNode) reply(e *engineNode, s *sending, event core.EventAttempt) {
+func (n *routerNode) reply(e *engineNode, s *attempt, event core.EventAttempt) {
 	event.ID, event.Attempt, event.Echo = s.request.request.ID, s.attempt, s.attempt
 	n.run.clock.After(n.latency(e), func() {
 		if !s.over {
--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -46,7 +46,7 @@
 }
 
 // keep stores what the router asked to keep when a job was done.
-func (r *run) keep(s *sending) {
+func (r *run) keep(s *attempt) {
 	blocks := s.request.keep
 	if len(blocks) == 0 {
 		return
