--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -13,14 +13,14 @@
 
 // engineNode is an engine model at an address of its own name.
 type engineNode struct {
-	run   *run
-	name  string
-	zone  string
-	model *engine.Model
-	lives uint64
-	down  bool
-	alarm vtime.Alarm
-	seed  uint64
+	run         *run
+	name        string
+	zone        string
+	model       *engine.Model
+	incarnation uint64
+	down        bool
+	alarm       vtime.Alarm
+	seed        uint64
 
 	underWay      int // prompt tokens sent, not arrived yet
 	underWayQuick int // the same for the interactive lane
@@ -37,9 +37,9 @@
 }
 
 func (e *engineNode) boot() {
-	e.lives++
+	e.incarnation++
 	e.down = false
-	e.model = engine.New(e.name, e.lives, weights, e.run.rates, e.run.options.grain(), e.seed+e.lives, guard.Set{})
+	e.model = engine.New(e.name, e.incarnation, weights, e.run.rates, e.run.options.grain(), e.seed+e.incarnation, guard.Set{})
 	e.model.Import = e.run.importFrom
 	e.alarm = vtime.Alarm{}
 }
@@ -113,9 +113,9 @@
 	if !any {
 		return
 	}
-	life := e.lives
+	life := e.incarnation
 	e.alarm.Set(now, due, time.Microsecond, e.run.clock.After, func() {
-		if e.lives == life {
+		if e.incarnation == life {
 			e.advance()
 		}
 	})
