--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -22,8 +22,8 @@
 	alarm       vtime.Alarm
 	seed        uint64
 
-	underWay      int // prompt tokens sent, not arrived yet
-	underWayQuick int // the same for the interactive lane
+	inFlightTokens int // prompt tokens sent, not arrived yet
+	underWayQuick  int // the same for the interactive lane
 }
 
 // attempt joins a job to the router and the request it belongs to.
@@ -59,11 +59,11 @@
 	if lane == core.LaneInteractive {
 		return load.InteractiveTokens + e.underWayQuick
 	}
-	return load.WaitingTokens + e.underWay
+	return load.WaitingTokens + e.inFlightTokens
 }
 
 func (e *engineNode) count(s *attempt, sign int) {
-	e.underWay += sign * s.tokens
+	e.inFlightTokens += sign * s.tokens
 	if s.lane == core.LaneInteractive {
 		e.underWayQuick += sign * s.tokens
 	}
