--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -62,7 +62,7 @@
 	return load.WaitingTokens + e.inFlightTokens
 }
 
-func (e *engineNode) count(s *attempt, sign int) {
+func (e *engineNode) adjustInFlight(s *attempt, sign int) {
 	e.inFlightTokens += sign * s.tokens
 	if s.lane == core.LaneInteractive {
 		e.underWayQuick += sign * s.tokens
@@ -74,7 +74,7 @@
 
 // arrive takes a job when it has come over the network.
 func (e *engineNode) arrive(action core.ActionDispatch, s *attempt) {
-	e.count(s, -1)
+	e.adjustInFlight(s, -1)
 	if s.over {
 		return
 	}
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -147,7 +147,7 @@
 	}
 	n.sendings[action.Attempt], n.targets[action.Attempt] = s, e
 	n.announce(core.PeerDispatch{Backend: e.name, Tokens: action.PrefillTokens, Lane: action.Lane})
-	e.count(s, 1)
+	e.adjustInFlight(s, 1)
 	n.run.clock.After(n.latency(e), func() { e.arrive(action, s) })
 }
 
