--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// busyRest is how long an engine that is full wants nothing.
-const busyRest = 100 * time.Millisecond
+// queueFullBackoff is how long an engine that is full wants nothing.
+const queueFullBackoff = 100 * time.Millisecond
 
 // arrive takes a job when it has come over the network.
 func (e *engineNode) arrive(action core.ActionDispatch, s *attempt) {
@@ -94,7 +94,7 @@
 	case engine.AcceptedWithoutReuse:
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 	default:
-		s.router.pass(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Signals: pushback.Signals{Backoff: busyRest}})
+		s.router.pass(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Signals: pushback.Signals{Backoff: queueFullBackoff}})
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 	}
 	e.advance()
