--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -113,9 +113,9 @@
 	if !any {
 		return
 	}
-	life := e.incarnation
+	incarnation := e.incarnation
 	e.alarm.Set(now, due, time.Microsecond, e.run.clock.After, func() {
-		if e.incarnation == life {
+		if e.incarnation == incarnation {
 			e.advance()
 		}
 	})
