--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -36,7 +36,7 @@
 	over    bool
 }
 
-func (e *engineNode) boot() {
+func (e *engineNode) start() {
 	e.incarnation++
 	e.down = false
 	e.model = engine.New(e.name, e.incarnation, weights, e.run.rates, e.run.options.grain(), e.seed+e.incarnation, guard.Set{})
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -106,7 +106,7 @@
 	zones := r.deployment.Zones
 	for i := range r.deployment.Model.Workers {
 		node := &engineNode{run: r, name: engineName(i), zone: zones[i%len(zones)], seed: r.seed*1000 + uint64(i)*7}
-		node.boot()
+		node.start()
 		r.engines = append(r.engines, node)
 		r.byName[node.name] = node
 	}
@@ -159,7 +159,7 @@
 func (r *run) crashOne(node *engineNode) {
 	node.crash()
 	r.clock.After(downTime, func() {
-		node.boot()
+		node.start()
 		node.advance()
 	})
 }
