--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -107,7 +107,7 @@
 	}
 	now := e.run.clock.Now()
 	for _, output := range e.model.Advance(now) {
-		e.output(output)
+		e.handleOutput(output)
 	}
 	due, any := e.model.NextWakeup()
 	if !any {
@@ -121,7 +121,7 @@
 	})
 }
 
-func (e *engineNode) output(output engine.Output) {
+func (e *engineNode) handleOutput(output engine.Output) {
 	s := output.Job.UserData.(*attempt)
 	event := core.EventAttempt{Index: output.Index, Cached: output.Cached}
 	switch output.Kind {
