--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -25,7 +25,7 @@
 	core     *core.Core
 	alarm    vtime.Alarm
 	waiting  map[core.RequestID]*pending
-	sendings map[core.AttemptID]*attempt
+	attempts map[core.AttemptID]*attempt
 	targets  map[core.AttemptID]*engineNode
 	nextID   core.RequestID
 	unsaid   []said
@@ -54,7 +54,7 @@
 		}
 	}
 	node := &routerNode{run: r, zone: zone, waiting: map[core.RequestID]*pending{},
-		sendings: map[core.AttemptID]*attempt{}, targets: map[core.AttemptID]*engineNode{}}
+		attempts: map[core.AttemptID]*attempt{}, targets: map[core.AttemptID]*engineNode{}}
 	node.core = core.New(core.Config{
 		Router: zone, Zone: zone, Seed: seed, BlockTokens: r.options.grain(), IndexLimit: indexLimit,
 		ZoneLatency: latency, Vault: vaultName, ImportRate: r.rates.ImportTokensPerSecond, Placer: placerFor(r.policy, r),
@@ -145,7 +145,7 @@
 	if action.StoreInVault {
 		request.keep = action.Blocks[:action.VaultBlocks]
 	}
-	n.sendings[action.Attempt], n.targets[action.Attempt] = s, e
+	n.attempts[action.Attempt], n.targets[action.Attempt] = s, e
 	n.announce(core.PeerDispatch{Backend: e.name, Tokens: action.PrefillTokens, Lane: action.Lane})
 	e.adjustInFlight(s, 1)
 	n.run.clock.After(n.latency(e), func() { e.arrive(action, s) })
@@ -167,7 +167,7 @@
 }
 
 func (n *routerNode) cancel(attempt core.AttemptID) {
-	s, e := n.sendings[attempt], n.targets[attempt]
+	s, e := n.attempts[attempt], n.targets[attempt]
 	if s == nil {
 		return
 	}
@@ -182,7 +182,7 @@
 }
 
 func (n *routerNode) forget(attempt core.AttemptID) {
-	delete(n.sendings, attempt)
+	delete(n.attempts, attempt)
 	delete(n.targets, attempt)
 }
 
@@ -196,7 +196,7 @@
 	}
 	slices.Sort(broken)
 	for _, attempt := range broken {
-		n.reply(e, n.sendings[attempt], core.EventAttempt{Kind: core.AttemptBroken})
+		n.reply(e, n.attempts[attempt], core.EventAttempt{Kind: core.AttemptBroken})
 	}
 }
 
@@ -213,7 +213,7 @@
 	request := n.waiting[action.ID]
 	delete(n.waiting, action.ID)
 	n.run.measure.finished(n.run.clock.Now()+n.run.deployment.ClientLatency, request, action)
-	for attempt, s := range n.sendings {
+	for attempt, s := range n.attempts {
 		if s.request == request {
 			n.forget(attempt)
 		}
