--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -24,7 +24,7 @@
 	zone     string
 	core     *core.Core
 	alarm    vtime.Alarm
-	waiting  map[core.RequestID]*pending
+	pending  map[core.RequestID]*pending
 	attempts map[core.AttemptID]*attempt
 	targets  map[core.AttemptID]*engineNode
 	nextID   core.RequestID
@@ -53,7 +53,7 @@
 			latency[other] = r.deployment.ZoneLatency
 		}
 	}
-	node := &routerNode{run: r, zone: zone, waiting: map[core.RequestID]*pending{},
+	node := &routerNode{run: r, zone: zone, pending: map[core.RequestID]*pending{},
 		attempts: map[core.AttemptID]*attempt{}, targets: map[core.AttemptID]*engineNode{}}
 	node.core = core.New(core.Config{
 		Router: zone, Zone: zone, Seed: seed, BlockTokens: r.options.grain(), IndexLimit: indexLimit,
@@ -118,7 +118,7 @@
 	if prompt.Short { // the users' quick questions ask for the interactive lane
 		request.Lane, request.LaneFixed = core.LaneInteractive, true
 	}
-	n.waiting[request.ID] = &pending{request: request, prompt: prompt, sentAt: sentAt}
+	n.pending[request.ID] = &pending{request: request, prompt: prompt, sentAt: sentAt}
 	n.post(core.EventRequest{Request: request})
 }
 
@@ -138,7 +138,7 @@
 }
 
 func (n *routerNode) dispatch(action core.ActionDispatch) {
-	request := n.waiting[action.ID]
+	request := n.pending[action.ID]
 	e := n.run.byName[action.Backend]
 	s := &attempt{router: n, request: request, attempt: action.Attempt, lane: action.Lane,
 		tokens: max(1, request.request.PromptTokens-action.ExpectedCachedTokens)}
@@ -201,7 +201,7 @@
 }
 
 func (n *routerNode) chunk(action core.ActionChunk) {
-	request := n.waiting[action.ID]
+	request := n.pending[action.ID]
 	if request == nil || request.first {
 		return
 	}
@@ -210,8 +210,8 @@
 }
 
 func (n *routerNode) finish(action core.ActionFinish) {
-	request := n.waiting[action.ID]
-	delete(n.waiting, action.ID)
+	request := n.pending[action.ID]
+	delete(n.pending, action.ID)
 	n.run.measure.finished(n.run.clock.Now()+n.run.deployment.ClientLatency, request, action)
 	for attempt, s := range n.attempts {
 		if s.request == request {
