--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -20,15 +20,15 @@
 
 // routerNode is one zone's router.
 type routerNode struct {
-	run      *run
-	zone     string
-	core     *core.Core
-	alarm    vtime.Alarm
-	pending  map[core.RequestID]*pending
-	attempts map[core.AttemptID]*attempt
-	targets  map[core.AttemptID]*engineNode
-	nextID   core.RequestID
-	unsaid   []said
+	run           *run
+	zone          string
+	core          *core.Core
+	alarm         vtime.Alarm
+	pending       map[core.RequestID]*pending
+	attempts      map[core.AttemptID]*attempt
+	targets       map[core.AttemptID]*engineNode
+	nextID        core.RequestID
+	announcements []said
 }
 
 // said is an announcement and when it became true.
@@ -238,16 +238,16 @@
 
 // announce tells the other routers of a send, a few at a time.
 func (n *routerNode) announce(send core.PeerDispatch) {
-	n.unsaid = append(n.unsaid, said{send: send, at: n.run.clock.Now()})
-	if len(n.unsaid) > 1 {
+	n.announcements = append(n.announcements, said{send: send, at: n.run.clock.Now()})
+	if len(n.announcements) > 1 {
 		return
 	}
 	n.run.clock.After(announcePeriod, n.flushAnnouncements)
 }
 
 func (n *routerNode) flushAnnouncements() {
-	unsaid := n.unsaid
-	n.unsaid = nil
+	unsaid := n.announcements
+	n.announcements = nil
 	for _, peer := range n.run.routers {
 		if peer == n {
 			continue
