--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -246,13 +246,13 @@
 }
 
 func (n *routerNode) flushAnnouncements() {
-	unsaid := n.announcements
+	announcements := n.announcements
 	n.announcements = nil
 	for _, peer := range n.run.routers {
 		if peer == n {
 			continue
 		}
-		n.run.clock.After(n.run.deployment.ZoneLatency, func() { peer.hear(unsaid) })
+		n.run.clock.After(n.run.deployment.ZoneLatency, func() { peer.hear(announcements) })
 	}
 }
 
