--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -256,9 +256,9 @@
 	}
 }
 
-func (n *routerNode) hear(unsaid []said) {
+func (n *routerNode) hear(announcements []said) {
 	event := core.EventPeerDispatches{}
-	for _, item := range unsaid {
+	for _, item := range announcements {
 		send := item.send
 		send.Age = n.run.clock.Now() - item.at
 		event.Sends = append(event.Sends, send)
