--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -28,11 +28,11 @@
 	attempts      map[core.AttemptID]*attempt
 	targets       map[core.AttemptID]*engineNode
 	nextID        core.RequestID
-	announcements []said
+	announcements []announcement
 }
 
-// said is an announcement and when it became true.
-type said struct {
+// announcement is an announcement and when it became true.
+type announcement struct {
 	send core.PeerDispatch
 	at   time.Duration
 }
@@ -238,7 +238,7 @@
 
 // announce tells the other routers of a send, a few at a time.
 func (n *routerNode) announce(send core.PeerDispatch) {
-	n.announcements = append(n.announcements, said{send: send, at: n.run.clock.Now()})
+	n.announcements = append(n.announcements, announcement{send: send, at: n.run.clock.Now()})
 	if len(n.announcements) > 1 {
 		return
 	}
@@ -256,7 +256,7 @@
 	}
 }
 
-func (n *routerNode) hear(announcements []said) {
+func (n *routerNode) hear(announcements []announcement) {
 	event := core.EventPeerDispatches{}
 	for _, item := range announcements {
 		send := item.send
