--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -252,11 +252,11 @@
 		if peer == n {
 			continue
 		}
-		n.run.clock.After(n.run.deployment.ZoneLatency, func() { peer.hear(announcements) })
+		n.run.clock.After(n.run.deployment.ZoneLatency, func() { peer.receiveAnnouncements(announcements) })
 	}
 }
 
-func (n *routerNode) hear(announcements []announcement) {
+func (n *routerNode) receiveAnnouncements(announcements []announcement) {
 	event := core.EventPeerDispatches{}
 	for _, item := range announcements {
 		send := item.send
