--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -162,8 +162,8 @@
 }
 
 // pass passes on what an engine says of itself, also where the attempt is over.
-func (n *routerNode) pass(e *engineNode, said core.EventPushback) {
-	n.run.clock.After(n.latency(e), func() { n.post(said) })
+func (n *routerNode) pass(e *engineNode, pushback core.EventPushback) {
+	n.run.clock.After(n.latency(e), func() { n.post(pushback) })
 }
 
 func (n *routerNode) cancel(attempt core.AttemptID) {
