--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -94,7 +94,7 @@
 	case engine.AcceptedWithoutReuse:
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 	default:
-		s.router.pass(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Signals: pushback.Signals{Backoff: queueFullBackoff}})
+		s.router.sendPushback(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Signals: pushback.Signals{Backoff: queueFullBackoff}})
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 	}
 	e.advance()
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -161,8 +161,8 @@
 	})
 }
 
-// pass passes on what an engine says of itself, also where the attempt is over.
-func (n *routerNode) pass(e *engineNode, pushback core.EventPushback) {
+// sendPushback passes on what an engine says of itself, also where the attempt is over.
+func (n *routerNode) sendPushback(e *engineNode, pushback core.EventPushback) {
 	n.run.clock.After(n.latency(e), func() { n.post(pushback) })
 }
 
