--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -67,7 +67,7 @@
 	for _, e := range n.run.engines {
 		machines = append(machines, core.Machine{Name: e.name, Zone: e.zone, Service: n.run.service, Address: e.name})
 	}
-	n.post(core.EventSettings{Version: 1, Tree: n.run.tree}, core.EventLease{Epoch: 1, Until: 1 << 62}, core.EventMachineList{Machines: machines})
+	n.tick(core.EventSettings{Version: 1, Tree: n.run.tree}, core.EventLease{Epoch: 1, Until: 1 << 62}, core.EventMachineList{Machines: machines})
 	for i, e := range n.run.engines {
 		offset := time.Duration(i) * pollPeriod / time.Duration(len(n.run.engines))
 		cursor := &membership.Cursor{}
@@ -82,14 +82,14 @@
 	return n.run.deployment.ZoneLatency
 }
 
-// post passes events to the core and carries out what it decides.
-func (n *routerNode) post(events ...core.Event) {
+// tick passes events to the core and carries out what it decides.
+func (n *routerNode) tick(events ...core.Event) {
 	now := n.run.clock.Now()
 	for _, action := range n.core.Tick(now, events) {
 		n.carryOut(action)
 	}
 	if due, any := n.core.NextWakeup(); any {
-		n.alarm.Set(now, due, time.Millisecond, n.run.clock.After, func() { n.post() })
+		n.alarm.Set(now, due, time.Millisecond, n.run.clock.After, func() { n.tick() })
 	}
 }
 
@@ -103,7 +103,7 @@
 			cursor.Advance(&report)
 			event.Report = &report
 		}
-		n.run.clock.After(n.latency(e), func() { n.post(event) })
+		n.run.clock.After(n.latency(e), func() { n.tick(event) })
 	})
 	n.run.clock.After(pollPeriod, func() { n.poll(e, cursor) })
 }
@@ -119,7 +119,7 @@
 		request.Lane, request.LaneFixed = core.LaneInteractive, true
 	}
 	n.pending[request.ID] = &pending{request: request, prompt: prompt, sentAt: sentAt}
-	n.post(core.EventRequest{Request: request})
+	n.tick(core.EventRequest{Request: request})
 }
 
 func (n *routerNode) carryOut(action core.Action) {
@@ -156,14 +156,14 @@
 	event.ID, event.Attempt, event.Echo = s.request.request.ID, s.attempt, s.attempt
 	n.run.clock.After(n.latency(e), func() {
 		if !s.over {
-			n.post(event)
+			n.tick(event)
 		}
 	})
 }
 
 // sendPushback passes on what an engine says of itself, also where the attempt is over.
 func (n *routerNode) sendPushback(e *engineNode, pushback core.EventPushback) {
-	n.run.clock.After(n.latency(e), func() { n.post(pushback) })
+	n.run.clock.After(n.latency(e), func() { n.tick(pushback) })
 }
 
 func (n *routerNode) cancel(attempt core.AttemptID) {
@@ -228,12 +228,12 @@
 		}
 		blocks, sequence := e.model.Snapshot()
 		event := core.EventCacheSnapshot{Name: e.name, Incarnation: e.model.Incarnation, Sequence: sequence, Blocks: blocks}
-		n.run.clock.After(n.latency(e), func() { n.post(event) })
+		n.run.clock.After(n.latency(e), func() { n.tick(event) })
 	})
 }
 
 func (n *routerNode) tellVault(blocks blockList) {
-	n.post(core.EventVault{Blocks: blocks, Held: true})
+	n.tick(core.EventVault{Blocks: blocks, Held: true})
 }
 
 // announce tells the other routers of a send, a few at a time.
@@ -263,5 +263,5 @@
 		send.Age = n.run.clock.Now() - item.at
 		event.Sends = append(event.Sends, send)
 	}
-	n.post(event)
+	n.tick(event)
 }
