--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -86,7 +86,7 @@
 func (n *routerNode) tick(events ...core.Event) {
 	now := n.run.clock.Now()
 	for _, action := range n.core.Tick(now, events) {
-		n.carryOut(action)
+		n.perform(action)
 	}
 	if due, any := n.core.NextWakeup(); any {
 		n.alarm.Set(now, due, time.Millisecond, n.run.clock.After, func() { n.tick() })
@@ -122,7 +122,7 @@
 	n.tick(core.EventRequest{Request: request})
 }
 
-func (n *routerNode) carryOut(action core.Action) {
+func (n *routerNode) perform(action core.Action) {
 	switch typed := action.(type) {
 	case core.ActionDispatch:
 		n.dispatch(typed)
