--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -108,8 +108,8 @@
 	n.run.clock.After(pollPeriod, func() { n.poll(e, cursor) })
 }
 
-// arrive takes a caller's prompt.
-func (n *routerNode) arrive(prompt traffic.Prompt, sentAt time.Duration) {
+// handlePrompt takes a caller's prompt.
+func (n *routerNode) handlePrompt(prompt traffic.Prompt, sentAt time.Duration) {
 	n.nextID++
 	request := core.Request{
 		ID: n.nextID, Tenant: prompt.Tenant, Service: n.run.service, PromptTokens: tokensOf(prompt.Text), MaxTokens: prompt.MaxTokens,
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -137,7 +137,7 @@
 			router = r.routers[0]
 		}
 		sentAt := r.clock.Now()
-		r.clock.After(r.deployment.ClientLatency, func() { router.arrive(prompt, sentAt) })
+		r.clock.After(r.deployment.ClientLatency, func() { router.handlePrompt(prompt, sentAt) })
 		r.send()
 	})
 }
