--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -62,7 +62,7 @@
 	return node
 }
 
-func (n *routerNode) boot() {
+func (n *routerNode) start() {
 	machines := make([]core.Machine, 0, len(n.run.engines))
 	for _, e := range n.run.engines {
 		machines = append(machines, core.Machine{Name: e.name, Zone: e.zone, Service: n.run.service, Address: e.name})
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -118,7 +118,7 @@
 		node := r.newRouter(zone, r.seed*10+uint64(i))
 		r.routers = append(r.routers, node)
 		r.byZone[zone] = node
-		node.boot()
+		node.start()
 	}
 }
 
