--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -12,7 +12,7 @@
 
 const (
 	localLatency = 200 * time.Microsecond // one way within a zone
-	pollPeriod   = 100 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
 	indexLimit   = 200_000
 	// announcePeriod is how long a send waits to be told to the other routers together with others.
 	announcePeriod = 20 * time.Millisecond
@@ -69,7 +69,7 @@
 	}
 	n.tick(core.EventSettings{Version: 1, Tree: n.run.tree}, core.EventLease{Epoch: 1, Until: 1 << 62}, core.EventMachineList{Machines: machines})
 	for i, e := range n.run.engines {
-		offset := time.Duration(i) * pollPeriod / time.Duration(len(n.run.engines))
+		offset := time.Duration(i) * pollInterval / time.Duration(len(n.run.engines))
 		cursor := &membership.Cursor{}
 		n.run.clock.After(offset, func() { n.poll(e, cursor) })
 	}
@@ -105,7 +105,7 @@
 		}
 		n.run.clock.After(n.latency(e), func() { n.tick(event) })
 	})
-	n.run.clock.After(pollPeriod, func() { n.poll(e, cursor) })
+	n.run.clock.After(pollInterval, func() { n.poll(e, cursor) })
 }
 
 // handlePrompt takes a caller's prompt.
