--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -14,8 +14,8 @@
 	localLatency = 200 * time.Microsecond // one way within a zone
 	pollInterval = 100 * time.Millisecond
 	indexLimit   = 200_000
-	// announcePeriod is how long a send waits to be told to the other routers together with others.
-	announcePeriod = 20 * time.Millisecond
+	// announceDelay is how long a send waits to be told to the other routers together with others.
+	announceDelay = 20 * time.Millisecond
 )
 
 // routerNode is one zone's router.
@@ -242,7 +242,7 @@
 	if len(n.announcements) > 1 {
 		return
 	}
-	n.run.clock.After(announcePeriod, n.flushAnnouncements)
+	n.run.clock.After(announceDelay, n.flushAnnouncements)
 }
 
 func (n *routerNode) flushAnnouncements() {
