--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -39,11 +39,11 @@
 
 // pending is a request that has no final answer yet.
 type pending struct {
-	request core.Request
-	prompt  traffic.Prompt
-	sentAt  time.Duration
-	first   bool // the first token has come
-	keep    blockList
+	request        core.Request
+	prompt         traffic.Prompt
+	sentAt         time.Duration
+	firstTokenSeen bool // the first token has come
+	keep           blockList
 }
 
 func (r *run) newRouter(zone string, seed uint64) *routerNode {
@@ -202,10 +202,10 @@
 
 func (n *routerNode) chunk(action core.ActionChunk) {
 	request := n.pending[action.ID]
-	if request == nil || request.first {
+	if request == nil || request.firstTokenSeen {
 		return
 	}
-	request.first = true
+	request.firstTokenSeen = true
 	n.run.measure.firstToken(n.run.clock.Now()+n.run.deployment.ClientLatency, request)
 }
 
