--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -94,9 +94,9 @@
 }
 
 func (n *routerNode) poll(e *engineNode, cursor *membership.Cursor) {
-	asked := n.run.clock.Now()
+	requestedAt := n.run.clock.Now()
 	n.run.clock.After(n.latency(e), func() {
-		event := core.EventBackendPoll{Name: e.name, RequestedAt: asked}
+		event := core.EventBackendPoll{Name: e.name, RequestedAt: requestedAt}
 		if !e.down {
 			e.advance()
 			report := e.model.Report(n.run.clock.Now(), cursor.Next())
