--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -132,7 +132,7 @@
 		event.Kind = core.AttemptChunk
 	case engine.OutputDone:
 		event.Kind = core.AttemptDone
-		e.run.keep(s)
+		e.run.storeInVault(s)
 	}
 	s.router.reply(e, s, event)
 }
--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// keep stores what the router asked to keep when a job was done.
-func (r *run) keep(s *attempt) {
+// storeInVault stores what the router asked to storeInVault when a job was done.
+func (r *run) storeInVault(s *attempt) {
 	blocks := s.request.keep
 	if len(blocks) == 0 {
 		return
