--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -31,7 +31,7 @@
 	return len(chain)
 }
 
-func (v *vault) keep(chain []prefix.Hash) {
+func (v *vault) store(chain []prefix.Hash) {
 	for _, hash := range chain {
 		if place := v.held[hash]; place != nil {
 			v.order.MoveToBack(place)
@@ -51,6 +51,6 @@
 	if len(blocks) == 0 {
 		return
 	}
-	r.vault.keep(blocks)
+	r.vault.store(blocks)
 	s.router.tellVault(blocks)
 }
