--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -10,19 +10,19 @@
 
 // vault is the store of kept KV cache: the least recently used blocks give way.
 type vault struct {
-	limit int
-	order *list.List
-	held  map[prefix.Hash]*list.Element
+	limit   int
+	order   *list.List
+	entries map[prefix.Hash]*list.Element
 }
 
 func newVault(limit int) *vault {
-	return &vault{limit: limit, order: list.New(), held: map[prefix.Hash]*list.Element{}}
+	return &vault{limit: limit, order: list.New(), entries: map[prefix.Hash]*list.Element{}}
 }
 
 // holds returns how many leading blocks of a chain are kept.
 func (v *vault) holds(chain []prefix.Hash) int {
 	for i, hash := range chain {
-		place := v.held[hash]
+		place := v.entries[hash]
 		if place == nil {
 			return i
 		}
@@ -33,15 +33,15 @@
 
 func (v *vault) store(chain []prefix.Hash) {
 	for _, hash := range chain {
-		if place := v.held[hash]; place != nil {
+		if place := v.entries[hash]; place != nil {
 			v.order.MoveToBack(place)
 			continue
 		}
-		v.held[hash] = v.order.PushBack(hash)
+		v.entries[hash] = v.order.PushBack(hash)
 	}
-	for len(v.held) > v.limit {
+	for len(v.entries) > v.limit {
 		oldest := v.order.Front()
-		delete(v.held, v.order.Remove(oldest).(prefix.Hash))
+		delete(v.entries, v.order.Remove(oldest).(prefix.Hash))
 	}
 }
 
