--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -15,8 +15,8 @@
 	entries map[prefix.Hash]*list.Element
 }
 
-func newVault(limit int) *vault {
-	return &vault{limit: limit, order: list.New(), entries: map[prefix.Hash]*list.Element{}}
+func newVault(maxBlocks int) *vault {
+	return &vault{limit: maxBlocks, order: list.New(), entries: map[prefix.Hash]*list.Element{}}
 }
 
 // holds returns how many leading blocks of a chain are kept.
