--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -33,8 +33,8 @@
 
 func (v *vault) store(chain []prefix.Hash) {
 	for _, hash := range chain {
-		if place := v.entries[hash]; place != nil {
-			v.order.MoveToBack(place)
+		if entry := v.entries[hash]; entry != nil {
+			v.order.MoveToBack(entry)
 			continue
 		}
 		v.entries[hash] = v.order.PushBack(hash)
