--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -44,14 +44,14 @@
 	return (o.Deployment.Traffic.PreambleTokens+o.Deployment.Traffic.TemplateTokens)/o.grain() + documentBlocks
 }
 
-// usualGrain is the block size of the deployments, in tokens.
-const usualGrain = 64
+// defaultBlockTokens is the block size of the deployments, in tokens.
+const defaultBlockTokens = 64
 
 func (o Options) grain() int {
 	if o.Grain > 0 {
 		return o.Grain
 	}
-	return usualGrain
+	return defaultBlockTokens
 }
 
 func (o Options) length() time.Duration  { return o.Length + drainTime }
@@ -86,8 +86,8 @@
 		byZone: map[string]*routerNode{}, hasher: prefix.NewHasher([prefix.KeyBytes]byte{1}, options.grain(), guard.Set{}),
 		vault: newVault(options.Deployment.Vault.Blocks), traffic: traffic.New(options.Deployment, seed, options.Scale),
 	}
-	r.rates.CacheBlocks = r.rates.CacheBlocks * usualGrain / options.grain() // the same memory
-	r.vault.limit = r.vault.limit * usualGrain / options.grain()
+	r.rates.CacheBlocks = r.rates.CacheBlocks * defaultBlockTokens / options.grain() // the same memory
+	r.vault.limit = r.vault.limit * defaultBlockTokens / options.grain()
 	r.measure = newMeasure(r)
 	r.traffic.FollowSun(options.Day)
 	r.makeNodes()
