--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	weights   = "w1"
-	warmUp    = 15 * time.Second
-	drainTime = 15 * time.Second
-	downTime  = 2 * time.Second // of a crashed engine
+	weights      = "w1"
+	warmUp       = 15 * time.Second
+	drainTime    = 15 * time.Second
+	restartDelay = 2 * time.Second // of a crashed engine
 )
 
 type blockList = []prefix.Hash
@@ -158,7 +158,7 @@
 
 func (r *run) crashOne(node *engineNode) {
 	node.crash()
-	r.clock.After(downTime, func() {
+	r.clock.After(restartDelay, func() {
 		node.start()
 		node.advance()
 	})
