--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -34,14 +34,14 @@
 	HashDepth  int           // blocks that the hash policies place by; 0 takes preamble, template and a part of the document
 }
 
-// documentBlocks is how far into the document the hash policies look. Of the depths tried it served them best.
-const documentBlocks = 8
+// hashedDocumentBlocks is how far into the document the hash policies look. Of the depths tried it served them best.
+const hashedDocumentBlocks = 8
 
 func (o Options) hashDepth() int {
 	if o.HashDepth > 0 {
 		return o.HashDepth
 	}
-	return (o.Deployment.Traffic.PreambleTokens+o.Deployment.Traffic.TemplateTokens)/o.grain() + documentBlocks
+	return (o.Deployment.Traffic.PreambleTokens+o.Deployment.Traffic.TemplateTokens)/o.grain() + hashedDocumentBlocks
 }
 
 // defaultBlockTokens is the block size of the deployments, in tokens.
