--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -91,7 +91,7 @@
 	r.measure = newMeasure(r)
 	r.traffic.FollowSun(options.Day)
 	r.makeNodes()
-	r.clock.After(time.Second, r.send)
+	r.clock.After(time.Second, r.sendNext)
 	if options.Disturbed {
 		r.clock.After(options.crashAt(), r.crash)
 		r.clock.After(options.shiftAt(), r.traffic.ShiftHotTemplates)
@@ -124,8 +124,8 @@
 
 func engineName(i int) string { return "engine-" + string(rune('a'+i/10)) + string(rune('0'+i%10)) }
 
-// send passes the next prompt to the router of its zone and plans the one after it.
-func (r *run) send() {
+// sendNext passes the next prompt to the router of its zone and plans the one after it.
+func (r *run) sendNext() {
 	start := r.clock.Now()
 	prompt := r.traffic.Next()
 	if prompt.At >= r.options.Length {
@@ -138,7 +138,7 @@
 		}
 		sentAt := r.clock.Now()
 		r.clock.After(r.deployment.ClientLatency, func() { router.handlePrompt(prompt, sentAt) })
-		r.send()
+		r.sendNext()
 	})
 }
 
