--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -32,8 +32,8 @@
 }
 
 const (
-	// loadBound is the factor over the mean load at which bounded prefix hashing goes on to the next engine.
-	loadBound = 1.25
+	// maxLoadFactor is the factor over the mean load at which bounded prefix hashing goes on to the next engine.
+	maxLoadFactor = 1.25
 )
 
 // placerFor returns the placer of a policy.
@@ -127,7 +127,7 @@
 	if !p.bounded {
 		return order[0]
 	}
-	bound := loadBound * float64(total+1) / float64(len(candidates))
+	bound := maxLoadFactor * float64(total+1) / float64(len(candidates))
 	for _, i := range order {
 		if float64(candidates[i].Running) < max(1, bound) {
 			return i
