--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -178,8 +178,8 @@
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
 	if deepest > held && source != node.name {
 		moved := (deepest - held) * p.run.options.grain()
-		whole := seconds(float64(moved)/rates.ImportTokensPerSecond) + seconds(float64(p.tokensLeft(context.Request, deepest))/rates.PrefillTokensPerSecond)
-		if whole < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
+		importTime := seconds(float64(moved)/rates.ImportTokensPerSecond) + seconds(float64(p.tokensLeft(context.Request, deepest))/rates.PrefillTokensPerSecond)
+		if importTime < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
 			candidate.ImportBlocks, candidate.ImportFrom = deepest, source
 			compute, copied = p.tokensLeft(context.Request, deepest), seconds(float64(moved)/rates.ImportTokensPerSecond)
 			displaced = seconds(core.DisplacedFraction * float64(moved) / rates.PrefillTokensPerSecond)
