--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -169,19 +169,19 @@
 	return best
 }
 
-func (p clairvoyantPlacer) correct(context core.PlacementContext, candidate *core.Candidate, source string, deepest int) {
+func (p clairvoyantPlacer) correct(context core.PlacementContext, candidate *core.Candidate, source string, longestCached int) {
 	node := p.run.engines[candidate.Engine]
 	rates := p.run.rates
 	held := node.model.CachedPrefix(context.Request.Chains[0].Blocks)
 	compute := p.tokensLeft(context.Request, held)
 	copied, displaced := time.Duration(0), time.Duration(0)
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
-	if deepest > held && source != node.name {
-		moved := (deepest - held) * p.run.options.grain()
-		importTime := seconds(float64(moved)/rates.ImportTokensPerSecond) + seconds(float64(p.tokensLeft(context.Request, deepest))/rates.PrefillTokensPerSecond)
+	if longestCached > held && source != node.name {
+		moved := (longestCached - held) * p.run.options.grain()
+		importTime := seconds(float64(moved)/rates.ImportTokensPerSecond) + seconds(float64(p.tokensLeft(context.Request, longestCached))/rates.PrefillTokensPerSecond)
 		if importTime < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
-			candidate.ImportBlocks, candidate.ImportFrom = deepest, source
-			compute, copied = p.tokensLeft(context.Request, deepest), seconds(float64(moved)/rates.ImportTokensPerSecond)
+			candidate.ImportBlocks, candidate.ImportFrom = longestCached, source
+			compute, copied = p.tokensLeft(context.Request, longestCached), seconds(float64(moved)/rates.ImportTokensPerSecond)
 			displaced = seconds(core.DisplacedFraction * float64(moved) / rates.PrefillTokensPerSecond)
 		}
 	}
