--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -172,12 +172,12 @@
 func (p clairvoyantPlacer) correct(context core.PlacementContext, candidate *core.Candidate, source string, longestCached int) {
 	node := p.run.engines[candidate.Engine]
 	rates := p.run.rates
-	held := node.model.CachedPrefix(context.Request.Chains[0].Blocks)
-	compute := p.tokensLeft(context.Request, held)
+	cachedBlocks := node.model.CachedPrefix(context.Request.Chains[0].Blocks)
+	compute := p.tokensLeft(context.Request, cachedBlocks)
 	copied, displaced := time.Duration(0), time.Duration(0)
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
-	if longestCached > held && source != node.name {
-		moved := (longestCached - held) * p.run.options.grain()
+	if longestCached > cachedBlocks && source != node.name {
+		moved := (longestCached - cachedBlocks) * p.run.options.grain()
 		importTime := seconds(float64(moved)/rates.ImportTokensPerSecond) + seconds(float64(p.tokensLeft(context.Request, longestCached))/rates.PrefillTokensPerSecond)
 		if importTime < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
 			candidate.ImportBlocks, candidate.ImportFrom = longestCached, source
@@ -187,7 +187,7 @@
 	}
 	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokensPerSecond)
 	work := seconds(float64(compute) / rates.PrefillTokensPerSecond)
-	candidate.Cached, candidate.Uncached = held*p.run.options.grain(), compute
+	candidate.Cached, candidate.Uncached = cachedBlocks*p.run.options.grain(), compute
 	candidate.Predicted = wait + work + copied
 	candidate.Cost = context.Values.TimeWeight*candidate.Predicted.Seconds() + context.Values.RecomputeWeight*(work+displaced).Seconds()
 }
