--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -177,12 +177,12 @@
 	copied, displaced := time.Duration(0), time.Duration(0)
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
 	if longestCached > cachedBlocks && source != node.name {
-		moved := (longestCached - cachedBlocks) * p.run.options.grain()
-		importTime := seconds(float64(moved)/rates.ImportTokensPerSecond) + seconds(float64(p.tokensLeft(context.Request, longestCached))/rates.PrefillTokensPerSecond)
+		importTokens := (longestCached - cachedBlocks) * p.run.options.grain()
+		importTime := seconds(float64(importTokens)/rates.ImportTokensPerSecond) + seconds(float64(p.tokensLeft(context.Request, longestCached))/rates.PrefillTokensPerSecond)
 		if importTime < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
 			candidate.ImportBlocks, candidate.ImportFrom = longestCached, source
-			compute, copied = p.tokensLeft(context.Request, longestCached), seconds(float64(moved)/rates.ImportTokensPerSecond)
-			displaced = seconds(core.DisplacedFraction * float64(moved) / rates.PrefillTokensPerSecond)
+			compute, copied = p.tokensLeft(context.Request, longestCached), seconds(float64(importTokens)/rates.ImportTokensPerSecond)
+			displaced = seconds(core.DisplacedFraction * float64(importTokens) / rates.PrefillTokensPerSecond)
 		}
 	}
 	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokensPerSecond)
