--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -51,24 +51,24 @@
 
 // measure collects what a run shows. Requests sent before the warm-up ends are not counted.
 type measure struct {
-	run         *run
-	prompt      int
-	hit         int
-	copied      int
-	recomputed  int
-	completed   int
-	refused     int
-	inTime      int
-	all         *hdrhistogram.Histogram
-	interactive *hdrhistogram.Histogram
-	everMade    map[prefix.Hash]bool
-	hitBySecond [][2]int // hit and prompt tokens
-	byCause     [causeCount]float64
+	run            *run
+	prompt         int
+	hit            int
+	copied         int
+	recomputed     int
+	completed      int
+	refused        int
+	inTime         int
+	all            *hdrhistogram.Histogram
+	interactive    *hdrhistogram.Histogram
+	computedBlocks map[prefix.Hash]bool
+	hitBySecond    [][2]int // hit and prompt tokens
+	byCause        [causeCount]float64
 }
 
 func newMeasure(r *run) *measure {
 	return &measure{
-		run: r, everMade: map[prefix.Hash]bool{},
+		run: r, computedBlocks: map[prefix.Hash]bool{},
 		all:         hdrhistogram.New(1, histogramHighest, histogramDigits),
 		interactive: hdrhistogram.New(1, histogramHighest, histogramDigits),
 		hitBySecond: make([][2]int, int(r.options.length()/time.Second)+2),
@@ -83,13 +83,13 @@
 	if first < len(chain) {
 		_, held := m.run.deepestHolder(chain)
 		for i, hash := range chain[first:] {
-			if m.everMade[hash] {
+			if m.computedBlocks[hash] {
 				again += m.run.options.grain()
 				if first+i < held {
 					elsewhere += m.run.options.grain()
 				}
 			}
-			m.everMade[hash] = true
+			m.computedBlocks[hash] = true
 		}
 	}
 	second := int(now / time.Second)
