--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -77,14 +77,14 @@
 
 // started counts reuse when an engine begins a job.
 func (m *measure) started(now time.Duration, s *attempt, output engine.Output) {
-	again, elsewhere := 0, 0
+	recomputed, elsewhere := 0, 0
 	chain := output.Job.Blocks
 	first := output.Cached / m.run.options.grain()
 	if first < len(chain) {
 		_, held := m.run.deepestHolder(chain)
 		for i, hash := range chain[first:] {
 			if m.computedBlocks[hash] {
-				again += m.run.options.grain()
+				recomputed += m.run.options.grain()
 				if first+i < held {
 					elsewhere += m.run.options.grain()
 				}
@@ -103,9 +103,9 @@
 	m.prompt += output.Job.PromptTokens
 	m.hit += output.Cached
 	m.copied += output.Imported
-	m.recomputed += again
+	m.recomputed += recomputed
 	m.byCause[causeElsewhere] += float64(elsewhere)
-	m.byCause[causeEvicted] += float64(again - elsewhere)
+	m.byCause[causeEvicted] += float64(recomputed - elsewhere)
 }
 
 func (m *measure) firstToken(now time.Duration, request *pending) {
