--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -135,7 +135,7 @@
 	m.refused++
 }
 
-func share(part, whole int) float64 {
+func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
@@ -150,9 +150,9 @@
 func (m *measure) row() Row {
 	row := Row{
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
-		PrefixHitRate: share(m.hit, m.prompt), CopiedShare: share(m.copied, m.prompt),
+		PrefixHitRate: ratio(m.hit, m.prompt), CopiedShare: ratio(m.copied, m.prompt),
 		TTFTP50: milliseconds(m.all, 50), TTFTP99: milliseconds(m.all, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
-		RecomputedTokenShare: share(m.recomputed, m.prompt), RefusedShare: share(m.refused, m.refused+m.completed),
+		RecomputedTokenShare: ratio(m.recomputed, m.prompt), RefusedShare: ratio(m.refused, m.refused+m.completed),
 		Completed: m.completed, Goodput: float64(m.inTime) / (m.run.options.Length - warmUp).Seconds(),
 		firstToken: m.all, byCause: m.byCause, Scale: m.run.options.Scale,
 	}
@@ -160,7 +160,7 @@
 		row.RecomputedElsewhere = m.byCause[causeElsewhere] / float64(m.prompt)
 	}
 	for _, second := range m.hitBySecond {
-		row.hitSeries = append(row.hitSeries, share(second[0], second[1]))
+		row.hitSeries = append(row.hitSeries, ratio(second[0], second[1]))
 	}
 	row.CrashRecovery = m.recovery(m.run.options.crashAt())
 	row.ShiftRecovery = m.recovery(m.run.options.shiftAt())
@@ -199,5 +199,5 @@
 		hit += m.hitBySecond[second][0]
 		prompt += m.hitBySecond[second][1]
 	}
-	return share(hit, prompt)
+	return ratio(hit, prompt)
 }
