--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -168,9 +168,9 @@
 }
 
 const (
-	recoveryWindow = 8   // seconds before an event from which the former level is taken
-	recoverySpan   = 3   // seconds over which the level is smoothed
-	recoveredShare = 0.9 // of the former level
+	recoveryWindow    = 8   // seconds before an event from which the former level is taken
+	recoverySmoothing = 3   // seconds over which the level is smoothed
+	recoveredShare    = 0.9 // of the former level
 )
 
 // recovery returns the seconds from an event until the hit rate is back.
@@ -180,12 +180,12 @@
 	last := int(m.run.options.Length / time.Second)
 	fallen := false
 	for end := second + 1; end <= last; end++ {
-		level := m.level(max(second, end-recoverySpan), end)
+		level := m.level(max(second, end-recoverySmoothing), end)
 		if level < recoveredShare*former {
 			fallen = true
 			continue
 		}
-		if fallen || end-second >= recoverySpan {
+		if fallen || end-second >= recoverySmoothing {
 			return float64(end - second - 1)
 		}
 	}
