--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -178,14 +178,14 @@
 	second := int(at / time.Second)
 	former := m.level(second-recoveryWindow, second)
 	last := int(m.run.options.Length / time.Second)
-	fallen := false
+	dropped := false
 	for end := second + 1; end <= last; end++ {
 		level := m.level(max(second, end-recoverySmoothing), end)
 		if level < recoveredShare*former {
-			fallen = true
+			dropped = true
 			continue
 		}
-		if fallen || end-second >= recoverySmoothing {
+		if dropped || end-second >= recoverySmoothing {
 			return float64(end - second - 1)
 		}
 	}
