--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -176,11 +176,11 @@
 // recovery returns the seconds from an event until the hit rate is back.
 func (m *measure) recovery(at time.Duration) float64 {
 	second := int(at / time.Second)
-	former := m.level(second-recoveryWindow, second)
+	former := m.hitRate(second-recoveryWindow, second)
 	last := int(m.run.options.Length / time.Second)
 	dropped := false
 	for end := second + 1; end <= last; end++ {
-		level := m.level(max(second, end-recoverySmoothing), end)
+		level := m.hitRate(max(second, end-recoverySmoothing), end)
 		if level < recoveredShare*former {
 			dropped = true
 			continue
@@ -192,8 +192,8 @@
 	return -1
 }
 
-// level is the hit rate over seconds from first to before last.
-func (m *measure) level(first, last int) float64 {
+// hitRate is the hit rate over seconds from first to before last.
+func (m *measure) hitRate(first, last int) float64 {
 	hit, prompt := 0, 0
 	for second := max(0, first); second < min(last, len(m.hitBySecond)); second++ {
 		hit += m.hitBySecond[second][0]
