--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -176,12 +176,12 @@
 // recovery returns the seconds from an event until the hit rate is back.
 func (m *measure) recovery(at time.Duration) float64 {
 	second := int(at / time.Second)
-	former := m.hitRate(second-recoveryWindow, second)
+	baseline := m.hitRate(second-recoveryWindow, second)
 	last := int(m.run.options.Length / time.Second)
 	dropped := false
 	for end := second + 1; end <= last; end++ {
 		level := m.hitRate(max(second, end-recoverySmoothing), end)
-		if level < recoveredShare*former {
+		if level < recoveredShare*baseline {
 			dropped = true
 			continue
 		}
