--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -17,14 +17,14 @@
 // moment late, callers with an objective and a deadline that come back when they are told to. It shows what refusing in time is
 // worth; how well a router places is measured elsewhere.
 const (
-	goodputEngines   = 30
-	goodputService   = 120 * time.Millisecond // mean, exponential
-	goodputLag       = 40 * time.Millisecond  // by which deciders know queues late: twice what gateways take to tell each other
-	goodputObjective = 800 * time.Millisecond
-	goodputDeadline  = 5 * time.Second
-	goodputLength    = 40 * time.Second
-	goodputChoices   = 4 // engines that are looked at for a request
-	goodputReturns   = 2 // times that a caller comes back
+	goodputEngines     = 30
+	goodputServiceTime = 120 * time.Millisecond // mean, exponential
+	goodputLag         = 40 * time.Millisecond  // by which deciders know queues late: twice what gateways take to tell each other
+	goodputObjective   = 800 * time.Millisecond
+	goodputDeadline    = 5 * time.Second
+	goodputLength      = 40 * time.Second
+	goodputChoices     = 4 // engines that are looked at for a request
+	goodputReturns     = 2 // times that a caller comes back
 )
 
 // GoodputPoint is what callers got at one load.
@@ -46,7 +46,7 @@
 	f := &goodputFleet{random: rand.New(rand.NewPCG(seed, seed)), refusal: refusal, freeAt: make([]time.Duration, goodputEngines)}
 	f.known = make([]time.Duration, goodputEngines)
 	f.point = GoodputPoint{Load: load, Refusal: refusal}
-	served := float64(goodputEngines) / goodputService.Seconds() // a second, by all engines
+	served := float64(goodputEngines) / goodputServiceTime.Seconds() // a second, by all engines
 	for at := time.Duration(0); at < goodputLength; {
 		at += time.Duration(f.random.ExpFloat64() / (load * served) * float64(time.Second))
 		heap.Push(&f.calls, goodputCall{at: at, first: at, key: fmt.Sprint(len(f.calls), at)})
@@ -137,7 +137,7 @@
 		return
 	}
 	f.judge.ObserveWait(0, predicted, begins-c.at)
-	work := time.Duration(f.random.ExpFloat64() * float64(goodputService))
+	work := time.Duration(f.random.ExpFloat64() * float64(goodputServiceTime))
 	ends := begins + work
 	f.freeAt[engine] = min(ends, deadline)
 	f.word += min(ends, deadline) - c.first
