--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -19,7 +19,7 @@
 const (
 	goodputEngines     = 30
 	goodputServiceTime = 120 * time.Millisecond // mean, exponential
-	goodputLag         = 40 * time.Millisecond  // by which deciders know queues late: twice what gateways take to tell each other
+	goodputStaleness   = 40 * time.Millisecond  // by which deciders know queues late: twice what gateways take to tell each other
 	goodputObjective   = 800 * time.Millisecond
 	goodputDeadline    = 5 * time.Second
 	goodputLength      = 40 * time.Second
@@ -96,7 +96,7 @@
 
 // call places one try, or turns it away.
 func (f *goodputFleet) call(c goodputCall) {
-	if c.at >= f.knownAt+goodputLag {
+	if c.at >= f.knownAt+goodputStaleness {
 		copy(f.known, f.freeAt)
 		f.knownAt = c.at
 	}
