--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -24,7 +24,7 @@
 	goodputDeadline    = 5 * time.Second
 	goodputLength      = 40 * time.Second
 	goodputChoices     = 4 // engines that are looked at for a request
-	goodputReturns     = 2 // times that a caller comes back
+	goodputMaxRetries  = 2 // times that a caller comes back
 )
 
 // GoodputPoint is what callers got at one load.
@@ -119,7 +119,7 @@
 func (f *goodputFleet) turnAway(c goodputCall, back time.Duration) {
 	const waitShare = 3 // callers wait for a third of the time that they have left, at most
 	left := c.first + goodputDeadline - c.at
-	if c.returns >= goodputReturns || left <= 0 {
+	if c.returns >= goodputMaxRetries || left <= 0 {
 		f.point.Refused++
 		f.word += c.at - c.first
 		return
