--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -22,7 +22,7 @@
 	goodputStaleness   = 40 * time.Millisecond  // by which deciders know queues late: twice what gateways take to tell each other
 	goodputObjective   = 800 * time.Millisecond
 	goodputDeadline    = 5 * time.Second
-	goodputLength      = 40 * time.Second
+	goodputDuration    = 40 * time.Second
 	goodputChoices     = 4 // engines that are looked at for a request
 	goodputMaxRetries  = 2 // times that a caller comes back
 )
@@ -47,14 +47,14 @@
 	f.known = make([]time.Duration, goodputEngines)
 	f.point = GoodputPoint{Load: load, Refusal: refusal}
 	served := float64(goodputEngines) / goodputServiceTime.Seconds() // a second, by all engines
-	for at := time.Duration(0); at < goodputLength; {
+	for at := time.Duration(0); at < goodputDuration; {
 		at += time.Duration(f.random.ExpFloat64() / (load * served) * float64(time.Second))
 		heap.Push(&f.calls, goodputCall{at: at, first: at, key: fmt.Sprint(len(f.calls), at)})
 	}
 	for f.calls.Len() > 0 {
 		f.call(heap.Pop(&f.calls).(goodputCall))
 	}
-	all := served * goodputLength.Seconds()
+	all := served * goodputDuration.Seconds()
 	p := f.point
 	return GoodputPoint{
 		Load: load, Refusal: refusal, InTime: p.InTime / all, Late: p.Late / all, Refused: p.Refused / all, Lost: p.Lost / all,
