--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -49,10 +49,10 @@
 	served := float64(goodputEngines) / goodputServiceTime.Seconds() // a second, by all engines
 	for at := time.Duration(0); at < goodputDuration; {
 		at += time.Duration(f.random.ExpFloat64() / (load * served) * float64(time.Second))
-		heap.Push(&f.calls, goodputCall{at: at, first: at, key: fmt.Sprint(len(f.calls), at)})
+		heap.Push(&f.calls, goodputAttempt{at: at, first: at, key: fmt.Sprint(len(f.calls), at)})
 	}
 	for f.calls.Len() > 0 {
-		f.call(heap.Pop(&f.calls).(goodputCall))
+		f.call(heap.Pop(&f.calls).(goodputAttempt))
 	}
 	all := served * goodputDuration.Seconds()
 	p := f.point
@@ -62,20 +62,20 @@
 	}
 }
 
-// goodputCall is a caller's try.
-type goodputCall struct {
+// goodputAttempt is a caller's try.
+type goodputAttempt struct {
 	at, first time.Duration // of this try, and of the first one
 	key       string
 	returns   int
 }
 
 // goodputCalls is a heap by time.
-type goodputCalls []goodputCall
+type goodputCalls []goodputAttempt
 
 func (c goodputCalls) Len() int           { return len(c) }
 func (c goodputCalls) Less(i, j int) bool { return c[i].at < c[j].at }
 func (c goodputCalls) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
-func (c *goodputCalls) Push(x any)        { *c = append(*c, x.(goodputCall)) }
+func (c *goodputCalls) Push(x any)        { *c = append(*c, x.(goodputAttempt)) }
 func (c *goodputCalls) Pop() any {
 	last := (*c)[len(*c)-1]
 	*c = (*c)[:len(*c)-1]
@@ -95,7 +95,7 @@
 }
 
 // call places one try, or turns it away.
-func (f *goodputFleet) call(c goodputCall) {
+func (f *goodputFleet) call(c goodputAttempt) {
 	if c.at >= f.knownAt+goodputStaleness {
 		copy(f.known, f.freeAt)
 		f.knownAt = c.at
@@ -116,7 +116,7 @@
 }
 
 // turnAway lets a caller come back, unless it has no time left for that.
-func (f *goodputFleet) turnAway(c goodputCall, back time.Duration) {
+func (f *goodputFleet) turnAway(c goodputAttempt, back time.Duration) {
 	const waitShare = 3 // callers wait for a third of the time that they have left, at most
 	left := c.first + goodputDeadline - c.at
 	if c.returns >= goodputMaxRetries || left <= 0 {
@@ -124,11 +124,11 @@
 		f.word += c.at - c.first
 		return
 	}
-	heap.Push(&f.calls, goodputCall{at: c.at + min(back, left/waitShare), first: c.first, key: c.key, returns: c.returns + 1})
+	heap.Push(&f.calls, goodputAttempt{at: c.at + min(back, left/waitShare), first: c.first, key: c.key, returns: c.returns + 1})
 }
 
 // serve runs a try on an engine; work on one whose caller leaves meanwhile is lost.
-func (f *goodputFleet) serve(c goodputCall, engine int, predicted time.Duration) {
+func (f *goodputFleet) serve(c goodputAttempt, engine int, predicted time.Duration) {
 	begins := max(f.freeAt[engine], c.at)
 	deadline := c.first + goodputDeadline
 	if begins >= deadline {
