--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -69,14 +69,14 @@
 	returns   int
 }
 
-// goodputCalls is a heap by time.
-type goodputCalls []goodputAttempt
-
-func (c goodputCalls) Len() int           { return len(c) }
-func (c goodputCalls) Less(i, j int) bool { return c[i].at < c[j].at }
-func (c goodputCalls) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
-func (c *goodputCalls) Push(x any)        { *c = append(*c, x.(goodputAttempt)) }
-func (c *goodputCalls) Pop() any {
+// goodputQueue is a heap by time.
+type goodputQueue []goodputAttempt
+
+func (c goodputQueue) Len() int           { return len(c) }
+func (c goodputQueue) Less(i, j int) bool { return c[i].at < c[j].at }
+func (c goodputQueue) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
+func (c *goodputQueue) Push(x any)        { *c = append(*c, x.(goodputAttempt)) }
+func (c *goodputQueue) Pop() any {
 	last := (*c)[len(*c)-1]
 	*c = (*c)[:len(*c)-1]
 	return last
@@ -89,7 +89,7 @@
 	known   []time.Duration // freeAt as deciders know it
 	knownAt time.Duration
 	judge   admission.Controller
-	calls   goodputCalls
+	calls   goodputQueue
 	point   GoodputPoint
 	word    time.Duration
 }
