--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -66,7 +66,7 @@
 type goodputAttempt struct {
 	at, first time.Duration // of this try, and of the first one
 	key       string
-	returns   int
+	retries   int
 }
 
 // goodputQueue is a heap by time.
@@ -119,12 +119,12 @@
 func (f *goodputFleet) turnAway(c goodputAttempt, back time.Duration) {
 	const waitShare = 3 // callers wait for a third of the time that they have left, at most
 	left := c.first + goodputDeadline - c.at
-	if c.returns >= goodputMaxRetries || left <= 0 {
+	if c.retries >= goodputMaxRetries || left <= 0 {
 		f.point.Refused++
 		f.word += c.at - c.first
 		return
 	}
-	heap.Push(&f.calls, goodputAttempt{at: c.at + min(back, left/waitShare), first: c.first, key: c.key, returns: c.returns + 1})
+	heap.Push(&f.calls, goodputAttempt{at: c.at + min(back, left/waitShare), first: c.first, key: c.key, retries: c.retries + 1})
 }
 
 // serve runs a try on an engine; work on one whose caller leaves meanwhile is lost.
