--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -58,7 +58,7 @@
 	p := f.point
 	return GoodputPoint{
 		Load: load, Refusal: refusal, InTime: p.InTime / all, Late: p.Late / all, Refused: p.Refused / all, Lost: p.Lost / all,
-		Word: float64(f.word.Milliseconds()) / max(1, p.InTime+p.Late+p.Refused+p.Lost),
+		Word: float64(f.totalTimeToOutcome.Milliseconds()) / max(1, p.InTime+p.Late+p.Refused+p.Lost),
 	}
 }
 
@@ -83,15 +83,15 @@
 }
 
 type goodputFleet struct {
-	random  *rand.Rand
-	refusal bool
-	freeAt  []time.Duration // by engine
-	known   []time.Duration // freeAt as deciders know it
-	knownAt time.Duration
-	judge   admission.Controller
-	calls   goodputQueue
-	point   GoodputPoint
-	word    time.Duration
+	random             *rand.Rand
+	refusal            bool
+	freeAt             []time.Duration // by engine
+	known              []time.Duration // freeAt as deciders know it
+	knownAt            time.Duration
+	judge              admission.Controller
+	calls              goodputQueue
+	point              GoodputPoint
+	totalTimeToOutcome time.Duration
 }
 
 // call places one try, or turns it away.
@@ -121,7 +121,7 @@
 	left := c.first + goodputDeadline - c.at
 	if c.retries >= goodputMaxRetries || left <= 0 {
 		f.point.Refused++
-		f.word += c.at - c.first
+		f.totalTimeToOutcome += c.at - c.first
 		return
 	}
 	heap.Push(&f.calls, goodputAttempt{at: c.at + min(back, left/waitShare), first: c.first, key: c.key, retries: c.retries + 1})
@@ -133,14 +133,14 @@
 	deadline := c.first + goodputDeadline
 	if begins >= deadline {
 		f.point.Lost++
-		f.word += goodputDeadline
+		f.totalTimeToOutcome += goodputDeadline
 		return
 	}
 	f.judge.ObserveWait(0, predicted, begins-c.at)
 	work := time.Duration(f.random.ExpFloat64() * float64(goodputServiceTime))
 	ends := begins + work
 	f.freeAt[engine] = min(ends, deadline)
-	f.word += min(ends, deadline) - c.first
+	f.totalTimeToOutcome += min(ends, deadline) - c.first
 	switch {
 	case ends > deadline:
 		f.point.Lost++
