--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -52,7 +52,7 @@
 		heap.Push(&f.calls, goodputAttempt{at: at, first: at, key: fmt.Sprint(len(f.calls), at)})
 	}
 	for f.calls.Len() > 0 {
-		f.call(heap.Pop(&f.calls).(goodputAttempt))
+		f.place(heap.Pop(&f.calls).(goodputAttempt))
 	}
 	all := served * goodputDuration.Seconds()
 	p := f.point
@@ -94,8 +94,8 @@
 	totalTimeToOutcome time.Duration
 }
 
-// call places one try, or turns it away.
-func (f *goodputFleet) call(c goodputAttempt) {
+// place places one try, or turns it away.
+func (f *goodputFleet) place(c goodputAttempt) {
 	if c.at >= f.knownAt+goodputStaleness {
 		copy(f.known, f.freeAt)
 		f.knownAt = c.at
