--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -107,8 +107,8 @@
 		}
 	}
 	predicted := max(0, f.known[engine]-c.at)
-	wish := admission.Request{Key: c.key, PredictedWait: predicted, Objective: goodputObjective, Random: f.random.Float64()}
-	if back, refused := f.judge.Decide(c.at, wish); refused && f.refusal {
+	request := admission.Request{Key: c.key, PredictedWait: predicted, Objective: goodputObjective, Random: f.random.Float64()}
+	if back, refused := f.judge.Decide(c.at, request); refused && f.refusal {
 		f.turnAway(c, back)
 		return
 	}
