--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -108,8 +108,8 @@
 	}
 	predicted := max(0, f.known[engine]-c.at)
 	request := admission.Request{Key: c.key, PredictedWait: predicted, Objective: goodputObjective, Random: f.random.Float64()}
-	if back, refused := f.judge.Decide(c.at, request); refused && f.refusal {
-		f.turnAway(c, back)
+	if retryAfter, refused := f.judge.Decide(c.at, request); refused && f.refusal {
+		f.turnAway(c, retryAfter)
 		return
 	}
 	f.serve(c, engine, predicted)
