--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -116,7 +116,7 @@
 }
 
 // turnAway lets a caller come back, unless it has no time left for that.
-func (f *goodputFleet) turnAway(c goodputAttempt, back time.Duration) {
+func (f *goodputFleet) turnAway(c goodputAttempt, retryAfter time.Duration) {
 	const waitShare = 3 // callers wait for a third of the time that they have left, at most
 	left := c.first + goodputDeadline - c.at
 	if c.retries >= goodputMaxRetries || left <= 0 {
@@ -124,7 +124,7 @@
 		f.totalTimeToOutcome += c.at - c.first
 		return
 	}
-	heap.Push(&f.calls, goodputAttempt{at: c.at + min(back, left/waitShare), first: c.first, key: c.key, retries: c.retries + 1})
+	heap.Push(&f.calls, goodputAttempt{at: c.at + min(retryAfter, left/waitShare), first: c.first, key: c.key, retries: c.retries + 1})
 }
 
 // serve runs a try on an engine; work on one whose caller leaves meanwhile is lost.
