--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -108,7 +108,7 @@
 	}
 	predicted := max(0, f.known[engine]-c.at)
 	request := admission.Request{Key: c.key, PredictedWait: predicted, Objective: goodputObjective, Random: f.random.Float64()}
-	if retryAfter, refused := f.judge.Decide(c.at, request); refused && f.refusal {
+	if retryAfter, rejected := f.judge.Decide(c.at, request); rejected && f.refusal {
 		f.turnAway(c, retryAfter)
 		return
 	}
