--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -129,16 +129,16 @@
 
 // serve runs a try on an engine; work on one whose caller leaves meanwhile is lost.
 func (f *goodputFleet) serve(c goodputAttempt, engine int, predicted time.Duration) {
-	begins := max(f.freeAt[engine], c.at)
+	start := max(f.freeAt[engine], c.at)
 	deadline := c.first + goodputDeadline
-	if begins >= deadline {
+	if start >= deadline {
 		f.point.Lost++
 		f.totalTimeToOutcome += goodputDeadline
 		return
 	}
-	f.judge.ObserveWait(0, predicted, begins-c.at)
+	f.judge.ObserveWait(0, predicted, start-c.at)
 	work := time.Duration(f.random.ExpFloat64() * float64(goodputServiceTime))
-	ends := begins + work
+	ends := start + work
 	f.freeAt[engine] = min(ends, deadline)
 	f.totalTimeToOutcome += min(ends, deadline) - c.first
 	switch {
