--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -138,13 +138,13 @@
 	}
 	f.judge.ObserveWait(0, predicted, start-c.at)
 	work := time.Duration(f.random.ExpFloat64() * float64(goodputServiceTime))
-	ends := start + work
-	f.freeAt[engine] = min(ends, deadline)
-	f.totalTimeToOutcome += min(ends, deadline) - c.first
+	end := start + work
+	f.freeAt[engine] = min(end, deadline)
+	f.totalTimeToOutcome += min(end, deadline) - c.first
 	switch {
-	case ends > deadline:
+	case end > deadline:
 		f.point.Lost++
-	case ends-c.at > goodputObjective:
+	case end-c.at > goodputObjective:
 		f.point.Late++
 	default:
 		f.point.InTime++
