--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -29,13 +29,13 @@
 
 // GoodputPoint is what callers got at one load.
 type GoodputPoint struct {
-	Load    float64 `json:"load"` // arrivals against what the engines can serve
-	Refusal bool    `json:"refusal"`
-	InTime  float64 `json:"in_time"` // answers within the objective, from the caller's newest try, as a share of what the engines can serve
-	Late    float64 `json:"late"`
-	Refused float64 `json:"refused"` // callers that ended so
-	Lost    float64 `json:"lost"`    // callers that reached their deadline
-	Word    float64 `json:"word_ms"` // mean time until callers knew how it ended
+	Load              float64 `json:"load"` // arrivals against what the engines can serve
+	Refusal           bool    `json:"refusal"`
+	InTime            float64 `json:"in_time"` // answers within the objective, from the caller's newest try, as a share of what the engines can serve
+	Late              float64 `json:"late"`
+	Refused           float64 `json:"refused"` // callers that ended so
+	Lost              float64 `json:"lost"`    // callers that reached their deadline
+	MeanTimeToOutcome float64 `json:"word_ms"` // mean time until callers knew how it ended
 }
 
 // GoodputLoads are the loads of the curve.
@@ -58,7 +58,7 @@
 	p := f.point
 	return GoodputPoint{
 		Load: load, Refusal: refusal, InTime: p.InTime / all, Late: p.Late / all, Refused: p.Refused / all, Lost: p.Lost / all,
-		Word: float64(f.totalTimeToOutcome.Milliseconds()) / max(1, p.InTime+p.Late+p.Refused+p.Lost),
+		MeanTimeToOutcome: float64(f.totalTimeToOutcome.Milliseconds()) / max(1, p.InTime+p.Late+p.Refused+p.Lost),
 	}
 }
 
@@ -167,7 +167,7 @@
 	var text strings.Builder
 	text.WriteString("| load | refusing in time | in time | late | refused | lost | mean time to the final word, ms |\n|---|---|---|---|---|---|---|\n")
 	for _, p := range points {
-		fmt.Fprintf(&text, "| %.2f | %t | %.3f | %.3f | %.3f | %.3f | %.0f |\n", p.Load, p.Refusal, p.InTime, p.Late, p.Refused, p.Lost, p.Word)
+		fmt.Fprintf(&text, "| %.2f | %t | %.3f | %.3f | %.3f | %.3f | %.0f |\n", p.Load, p.Refusal, p.InTime, p.Late, p.Refused, p.Lost, p.MeanTimeToOutcome)
 	}
 	return text.String()
 }
