--- a/internal/lab/bench/goodput_test.go
+++ b/internal/lab/bench/goodput_test.go
@@ -17,8 +17,8 @@
 		if without := at[false][2]; without > 0.5*peak[false] {
 			t.Errorf("seed %d: the stand-in does not collapse: %.3f of %.3f", seed, without, peak[false])
 		}
-		if calm := at[true][0.5]; calm < 0.98*at[false][0.5] {
-			t.Errorf("seed %d: %.3f in time at half the load, %.3f without refusals", seed, calm, at[false][0.5])
+		if rejecting := at[true][0.5]; rejecting < 0.98*at[false][0.5] {
+			t.Errorf("seed %d: %.3f in time at half the load, %.3f without refusals", seed, rejecting, at[false][0.5])
 		}
 	}
 }
