--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -16,13 +16,13 @@
 // Compare runs every policy over seeds, several at once, and returns the rows by policy, then seed.
 func Compare(options Options, policies []Policy, firstSeed uint64, seeds int) []Row {
 	rows := make([]Row, len(policies)*seeds)
-	slots := make(chan struct{}, runtime.NumCPU())
+	workers := make(chan struct{}, runtime.NumCPU())
 	var runs sync.WaitGroup
 	for at := range rows {
-		slots <- struct{}{}
+		workers <- struct{}{}
 		runs.Go(func() {
 			rows[at] = Run(options, policies[at/seeds], firstSeed+uint64(at%seeds))
-			<-slots
+			<-workers
 		})
 	}
 	runs.Wait()
