--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -101,15 +101,15 @@
 	for _, summary := range summaries {
 		fmt.Fprintf(&text, "| %s |", summary.Policy)
 		for _, c := range columns {
-			fmt.Fprintf(&text, " %s ± %s |", figure(*c.value(&summary.Mean)), figure(summary.Spread[c.name]))
+			fmt.Fprintf(&text, " %s ± %s |", formatValue(*c.value(&summary.Mean)), formatValue(summary.Spread[c.name]))
 		}
 		text.WriteString("\n")
 	}
 	return text.String()
 }
 
-// figure prints three significant digits.
-func figure(value float64) string {
+// formatValue prints three significant digits.
+func formatValue(value float64) string {
 	switch size := math.Abs(value); {
 	case size >= 100:
 		return fmt.Sprintf("%.0f", value)
