--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -60,14 +60,14 @@
 func Summarise(rows []Row) []Summary {
 	var summaries []Summary
 	for _, policy := range Policies() {
-		var of []Row
+		var selected []Row
 		for _, row := range rows {
 			if row.Policy == policy {
-				of = append(of, row)
+				selected = append(selected, row)
 			}
 		}
-		if len(of) > 0 {
-			summaries = append(summaries, summarise(policy, of))
+		if len(selected) > 0 {
+			summaries = append(summaries, summarise(policy, selected))
 		}
 	}
 	return summaries
