--- a/internal/lab/bench/plots.go
+++ b/internal/lab/bench/plots.go
@@ -30,13 +30,13 @@
 }
 
 func rowsOf(rows []Row, policy Policy) []Row {
-	var of []Row
+	var selected []Row
 	for _, row := range rows {
 		if row.Policy == policy {
-			of = append(of, row)
+			selected = append(selected, row)
 		}
 	}
-	return of
+	return selected
 }
 
 func save(p *plot.Plot, folder, name string) error {
