--- a/internal/lab/bench/plots.go
+++ b/internal/lab/bench/plots.go
@@ -136,17 +136,17 @@
 	var names []string
 	var values [causeCount]plotter.Values
 	for _, policy := range Policies() {
-		of := rowsOf(rows, policy)
-		if len(of) == 0 {
+		selected := rowsOf(rows, policy)
+		if len(selected) == 0 {
 			continue
 		}
 		names = append(names, string(policy))
 		for why := range causeCount {
 			total := 0.0
-			for _, row := range of {
+			for _, row := range selected {
 				total += row.byCause[why]
 			}
-			values[why] = append(values[why], total/float64(len(of)))
+			values[why] = append(values[why], total/float64(len(selected)))
 		}
 	}
 	var below *plotter.BarChart
