--- a/internal/lab/bench/plots.go
+++ b/internal/lab/bench/plots.go
@@ -141,12 +141,12 @@
 			continue
 		}
 		names = append(names, string(policy))
-		for why := range causeCount {
+		for cause := range causeCount {
 			total := 0.0
 			for _, row := range selected {
-				total += row.byCause[why]
+				total += row.byCause[cause]
 			}
-			values[why] = append(values[why], total/float64(len(selected)))
+			values[cause] = append(values[cause], total/float64(len(selected)))
 		}
 	}
 	var below *plotter.BarChart
