--- a/internal/lab/bench/plots.go
+++ b/internal/lab/bench/plots.go
@@ -150,12 +150,12 @@
 		}
 	}
 	var below *plotter.BarChart
-	for why, label := range []string{"held elsewhere", "evicted everywhere"} {
-		bars, err := plotter.NewBarChart(values[why], vg.Points(30))
+	for cause, label := range []string{"held elsewhere", "evicted everywhere"} {
+		bars, err := plotter.NewBarChart(values[cause], vg.Points(30))
 		if err != nil {
 			return eris.Wrap(err, "draw causes")
 		}
-		bars.Color = plotutil.Color(why)
+		bars.Color = plotutil.Color(cause)
 		if below != nil {
 			bars.StackOn(below)
 		}
