--- a/internal/lab/bench/plots.go
+++ b/internal/lab/bench/plots.go
@@ -149,17 +149,17 @@
 			values[cause] = append(values[cause], total/float64(len(selected)))
 		}
 	}
-	var below *plotter.BarChart
+	var previous *plotter.BarChart
 	for cause, label := range []string{"held elsewhere", "evicted everywhere"} {
 		bars, err := plotter.NewBarChart(values[cause], vg.Points(30))
 		if err != nil {
 			return eris.Wrap(err, "draw causes")
 		}
 		bars.Color = plotutil.Color(cause)
-		if below != nil {
-			bars.StackOn(below)
+		if previous != nil {
+			bars.StackOn(previous)
 		}
-		below = bars
+		previous = bars
 		p.Add(bars)
 		p.Legend.Add(label, bars)
 	}
