--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -22,8 +22,8 @@
 	alarm       vtime.Alarm
 	seed        uint64
 
-	inFlightTokens int // prompt tokens sent, not arrived yet
-	underWayQuick  int // the same for the interactive lane
+	inFlightTokens            int // prompt tokens sent, not arrived yet
+	inFlightInteractiveTokens int // the same for the interactive lane
 }
 
 // attempt joins a job to the router and the request it belongs to.
@@ -57,7 +57,7 @@
 	e.advance()
 	load := e.model.CurrentLoad()
 	if lane == core.LaneInteractive {
-		return load.InteractiveTokens + e.underWayQuick
+		return load.InteractiveTokens + e.inFlightInteractiveTokens
 	}
 	return load.WaitingTokens + e.inFlightTokens
 }
@@ -65,7 +65,7 @@
 func (e *engineNode) adjustInFlight(s *attempt, sign int) {
 	e.inFlightTokens += sign * s.tokens
 	if s.lane == core.LaneInteractive {
-		e.underWayQuick += sign * s.tokens
+		e.inFlightInteractiveTokens += sign * s.tokens
 	}
 }
 
