--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -137,8 +137,8 @@
 	s.router.reply(e, s, event)
 }
 
-// deepestHolder returns who holds the longest prefix of a chain, engine or vault.
-func (r *run) deepestHolder(chain []prefix.Hash) (string, int) {
+// longestCachedPrefix returns who holds the longest prefix of a chain, engine or vault.
+func (r *run) longestCachedPrefix(chain []prefix.Hash) (string, int) {
 	source, deepest := "", 0
 	for _, e := range r.engines {
 		if held := e.model.CachedPrefix(chain); !e.down && held > deepest {
--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -81,7 +81,7 @@
 	chain := output.Job.Blocks
 	first := output.Cached / m.run.options.grain()
 	if first < len(chain) {
-		_, held := m.run.deepestHolder(chain)
+		_, held := m.run.longestCachedPrefix(chain)
 		for i, hash := range chain[first:] {
 			if m.computedBlocks[hash] {
 				recomputed += m.run.options.grain()
--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -159,7 +159,7 @@
 func (p clairvoyantPlacer) Pick(context core.PlacementContext, candidates []core.Candidate) int {
 	chain := context.Request.Chains[0].Blocks
 	best := -1
-	source, longestCached := p.run.deepestHolder(chain)
+	source, longestCached := p.run.longestCachedPrefix(chain)
 	for i := range candidates {
 		p.correct(context, &candidates[i], source, longestCached)
 		if best < 0 || candidates[i].Cost < candidates[best].Cost {
