--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -40,7 +40,7 @@
 	e.incarnation++
 	e.down = false
 	e.model = engine.New(e.name, e.incarnation, weights, e.run.rates, e.run.options.grain(), e.seed+e.incarnation, guard.Set{})
-	e.model.Import = e.run.importFrom
+	e.model.Import = e.run.exportablePrefix
 	e.alarm = vtime.Alarm{}
 }
 
@@ -151,8 +151,8 @@
 	return source, deepest
 }
 
-// importFrom tells how much of a chain a source can give.
-func (r *run) importFrom(source string, chain []prefix.Hash) int {
+// exportablePrefix tells how much of a chain a source can give.
+func (r *run) exportablePrefix(source string, chain []prefix.Hash) int {
 	if source == vaultName {
 		return r.vault.holds(chain)
 	}
