--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -72,8 +72,8 @@
 // queueFullBackoff is how long an engine that is full wants nothing.
 const queueFullBackoff = 100 * time.Millisecond
 
-// arrive takes a job when it has come over the network.
-func (e *engineNode) arrive(action core.ActionDispatch, s *attempt) {
+// submit takes a job when it has come over the network.
+func (e *engineNode) submit(action core.ActionDispatch, s *attempt) {
 	e.adjustInFlight(s, -1)
 	if s.over {
 		return
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -148,7 +148,7 @@
 	n.attempts[action.Attempt], n.targets[action.Attempt] = s, e
 	n.announce(core.PeerDispatch{Backend: e.name, Tokens: action.PrefillTokens, Lane: action.Lane})
 	e.adjustInFlight(s, 1)
-	n.run.clock.After(n.latency(e), func() { e.arrive(action, s) })
+	n.run.clock.After(n.latency(e), func() { e.submit(action, s) })
 }
 
 // reply sends an event of an attempt back to the router.
