--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -48,7 +48,7 @@
 func (e *engineNode) crash() {
 	e.down = true
 	for _, router := range e.run.routers {
-		router.breakSendings(e)
+		router.breakAttempts(e)
 	}
 }
 
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -186,8 +186,8 @@
 	delete(n.targets, attempt)
 }
 
-// breakSendings breaks every connection to an engine that crashed.
-func (n *routerNode) breakSendings(e *engineNode) {
+// breakAttempts breaks every connection to an engine that crashed.
+func (n *routerNode) breakAttempts(e *engineNode) {
 	var broken []core.AttemptID
 	for attempt, target := range n.targets {
 		if target == e {
