--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -232,7 +232,7 @@
 	})
 }
 
-func (n *routerNode) tellVault(blocks blockList) {
+func (n *routerNode) recordStored(blocks blockList) {
 	n.tick(core.EventVault{Blocks: blocks, Held: true})
 }
 
--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -52,5 +52,5 @@
 		return
 	}
 	r.vault.store(blocks)
-	s.router.tellVault(blocks)
+	s.router.recordStored(blocks)
 }
