--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -43,7 +43,7 @@
 	prompt         traffic.Prompt
 	sentAt         time.Duration
 	firstTokenSeen bool // the first token has come
-	keep           blockList
+	vaultBlocks    blockList
 }
 
 func (r *run) newRouter(zone string, seed uint64) *routerNode {
@@ -143,7 +143,7 @@
 	s := &attempt{router: n, request: request, attempt: action.Attempt, lane: action.Lane,
 		tokens: max(1, request.request.PromptTokens-action.ExpectedCachedTokens)}
 	if action.StoreInVault {
-		request.keep = action.Blocks[:action.VaultBlocks]
+		request.vaultBlocks = action.Blocks[:action.VaultBlocks]
 	}
 	n.attempts[action.Attempt], n.targets[action.Attempt] = s, e
 	n.announce(core.PeerDispatch{Backend: e.name, Tokens: action.PrefillTokens, Lane: action.Lane})
--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -47,7 +47,7 @@
 
 // storeInVault stores what the router asked to storeInVault when a job was done.
 func (r *run) storeInVault(s *attempt) {
-	blocks := s.request.keep
+	blocks := s.request.vaultBlocks
 	if len(blocks) == 0 {
 		return
 	}
