--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -145,7 +145,7 @@
 			source, deepest = e.name, held
 		}
 	}
-	if held := r.vault.holds(chain); held > deepest {
+	if held := r.vault.cachedPrefix(chain); held > deepest {
 		return vaultName, held
 	}
 	return source, deepest
@@ -154,7 +154,7 @@
 // exportablePrefix tells how much of a chain a source can give.
 func (r *run) exportablePrefix(source string, chain []prefix.Hash) int {
 	if source == vaultName {
-		return r.vault.holds(chain)
+		return r.vault.cachedPrefix(chain)
 	}
 	for _, e := range r.engines {
 		if e.name == source && !e.down {
--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -19,8 +19,8 @@
 	return &vault{limit: maxBlocks, order: list.New(), entries: map[prefix.Hash]*list.Element{}}
 }
 
-// holds returns how many leading blocks of a chain are kept.
-func (v *vault) holds(chain []prefix.Hash) int {
+// cachedPrefix returns how many leading blocks of a chain are kept.
+func (v *vault) cachedPrefix(chain []prefix.Hash) int {
 	for i, hash := range chain {
 		place := v.entries[hash]
 		if place == nil {
