--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -22,11 +22,11 @@
 // cachedPrefix returns how many leading blocks of a chain are kept.
 func (v *vault) cachedPrefix(chain []prefix.Hash) int {
 	for i, hash := range chain {
-		place := v.entries[hash]
-		if place == nil {
+		entry := v.entries[hash]
+		if entry == nil {
 			return i
 		}
-		v.order.MoveToBack(place)
+		v.order.MoveToBack(entry)
 	}
 	return len(chain)
 }
