--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -39,7 +39,7 @@
 func (e *engineNode) start() {
 	e.incarnation++
 	e.down = false
-	e.model = engine.New(e.name, e.incarnation, weights, e.run.rates, e.run.options.grain(), e.seed+e.incarnation, guard.Set{})
+	e.model = engine.New(e.name, e.incarnation, weights, e.run.rates, e.run.options.blockTokens(), e.seed+e.incarnation, guard.Set{})
 	e.model.Import = e.run.exportablePrefix
 	e.alarm = vtime.Alarm{}
 }
--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -79,14 +79,14 @@
 func (m *measure) started(now time.Duration, s *attempt, output engine.Output) {
 	recomputed, elsewhere := 0, 0
 	chain := output.Job.Blocks
-	first := output.Cached / m.run.options.grain()
+	first := output.Cached / m.run.options.blockTokens()
 	if first < len(chain) {
 		_, held := m.run.longestCachedPrefix(chain)
 		for i, hash := range chain[first:] {
 			if m.computedBlocks[hash] {
-				recomputed += m.run.options.grain()
+				recomputed += m.run.options.blockTokens()
 				if first+i < held {
-					elsewhere += m.run.options.grain()
+					elsewhere += m.run.options.blockTokens()
 				}
 			}
 			m.computedBlocks[hash] = true
--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -177,7 +177,7 @@
 	copied, displaced := time.Duration(0), time.Duration(0)
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
 	if longestCached > cachedBlocks && source != node.name {
-		importTokens := (longestCached - cachedBlocks) * p.run.options.grain()
+		importTokens := (longestCached - cachedBlocks) * p.run.options.blockTokens()
 		importTime := seconds(float64(importTokens)/rates.ImportTokensPerSecond) + seconds(float64(p.tokensLeft(context.Request, longestCached))/rates.PrefillTokensPerSecond)
 		if importTime < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
 			candidate.ImportBlocks, candidate.ImportFrom = longestCached, source
@@ -187,13 +187,13 @@
 	}
 	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokensPerSecond)
 	work := seconds(float64(compute) / rates.PrefillTokensPerSecond)
-	candidate.Cached, candidate.Uncached = cachedBlocks*p.run.options.grain(), compute
+	candidate.Cached, candidate.Uncached = cachedBlocks*p.run.options.blockTokens(), compute
 	candidate.Predicted = wait + work + copied
 	candidate.Cost = context.Values.TimeWeight*candidate.Predicted.Seconds() + context.Values.RecomputeWeight*(work+displaced).Seconds()
 }
 
 func (p clairvoyantPlacer) tokensLeft(request *core.Request, blocks int) int {
-	return max(1, request.PromptTokens-blocks*p.run.options.grain())
+	return max(1, request.PromptTokens-blocks*p.run.options.blockTokens())
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -56,7 +56,7 @@
 	node := &routerNode{run: r, zone: zone, pending: map[core.RequestID]*pending{},
 		attempts: map[core.AttemptID]*attempt{}, targets: map[core.AttemptID]*engineNode{}}
 	node.core = core.New(core.Config{
-		Router: zone, Zone: zone, Seed: seed, BlockTokens: r.options.grain(), IndexLimit: indexLimit,
+		Router: zone, Zone: zone, Seed: seed, BlockTokens: r.options.blockTokens(), IndexLimit: indexLimit,
 		ZoneLatency: latency, Vault: vaultName, ImportRate: r.rates.ImportTokensPerSecond, Placer: placerFor(r.policy, r),
 	})
 	return node
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -41,13 +41,13 @@
 	if o.HashDepth > 0 {
 		return o.HashDepth
 	}
-	return (o.Deployment.Traffic.PreambleTokens+o.Deployment.Traffic.TemplateTokens)/o.grain() + hashedDocumentBlocks
+	return (o.Deployment.Traffic.PreambleTokens+o.Deployment.Traffic.TemplateTokens)/o.blockTokens() + hashedDocumentBlocks
 }
 
 // defaultBlockTokens is the block size of the deployments, in tokens.
 const defaultBlockTokens = 64
 
-func (o Options) grain() int {
+func (o Options) blockTokens() int {
 	if o.Grain > 0 {
 		return o.Grain
 	}
@@ -83,11 +83,11 @@
 	r := &run{
 		options: options, deployment: options.Deployment, policy: policy, seed: seed, tree: options.Tree,
 		service: options.Deployment.Model.Name, rates: options.Deployment.Rates(), byName: map[string]*engineNode{},
-		byZone: map[string]*routerNode{}, hasher: prefix.NewHasher([prefix.KeyBytes]byte{1}, options.grain(), guard.Set{}),
+		byZone: map[string]*routerNode{}, hasher: prefix.NewHasher([prefix.KeyBytes]byte{1}, options.blockTokens(), guard.Set{}),
 		vault: newVault(options.Deployment.Vault.Blocks), traffic: traffic.New(options.Deployment, seed, options.Scale),
 	}
-	r.rates.CacheBlocks = r.rates.CacheBlocks * defaultBlockTokens / options.grain() // the same memory
-	r.vault.limit = r.vault.limit * defaultBlockTokens / options.grain()
+	r.rates.CacheBlocks = r.rates.CacheBlocks * defaultBlockTokens / options.blockTokens() // the same memory
+	r.vault.limit = r.vault.limit * defaultBlockTokens / options.blockTokens()
 	r.measure = newMeasure(r)
 	r.traffic.FollowSun(options.Day)
 	r.makeNodes()
