--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -71,7 +71,7 @@
 		run: r, computedBlocks: map[prefix.Hash]bool{},
 		all:         hdrhistogram.New(1, histogramHighest, histogramDigits),
 		interactive: hdrhistogram.New(1, histogramHighest, histogramDigits),
-		hitBySecond: make([][2]int, int(r.options.length()/time.Second)+2),
+		hitBySecond: make([][2]int, int(r.options.totalLength()/time.Second)+2),
 	}
 }
 
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -54,9 +54,9 @@
 	return defaultBlockTokens
 }
 
-func (o Options) length() time.Duration  { return o.Length + drainTime }
-func (o Options) crashAt() time.Duration { return o.Length * 2 / 5 }
-func (o Options) shiftAt() time.Duration { return o.Length * 7 / 10 }
+func (o Options) totalLength() time.Duration { return o.Length + drainTime }
+func (o Options) crashAt() time.Duration     { return o.Length * 2 / 5 }
+func (o Options) shiftAt() time.Duration     { return o.Length * 7 / 10 }
 
 // run is one policy over one seed.
 type run struct {
@@ -96,7 +96,7 @@
 		r.clock.After(options.crashAt(), r.crash)
 		r.clock.After(options.shiftAt(), r.traffic.ShiftHotTemplates)
 	}
-	for r.clock.Step(options.length()) {
+	for r.clock.Step(options.totalLength()) {
 	}
 	return r.measure.row()
 }
