--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -90,7 +90,7 @@
 	r.vault.limit = r.vault.limit * defaultBlockTokens / options.blockTokens()
 	r.measure = newMeasure(r)
 	r.traffic.FollowSun(options.Day)
-	r.makeNodes()
+	r.createNodes()
 	r.clock.After(time.Second, r.sendNext)
 	if options.Disturbed {
 		r.clock.After(options.crashAt(), r.crash)
@@ -101,8 +101,8 @@
 	return r.measure.row()
 }
 
-// makeNodes lays out engines and routers. The clairvoyant policy has one router that sees everything.
-func (r *run) makeNodes() {
+// createNodes lays out engines and routers. The clairvoyant policy has one router that sees everything.
+func (r *run) createNodes() {
 	zones := r.deployment.Zones
 	for i := range r.deployment.Model.Workers {
 		node := &engineNode{run: r, name: engineName(i), zone: zones[i%len(zones)], seed: r.seed*1000 + uint64(i)*7}
