--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -145,18 +145,18 @@
 // crash ends one engine, or all of a zone, for a while; they come back empty.
 func (r *run) crash() {
 	if !r.options.CrashZone {
-		r.crashOne(r.engines[int(r.seed)%len(r.engines)])
+		r.crashEngine(r.engines[int(r.seed)%len(r.engines)])
 		return
 	}
 	zone := r.deployment.Zones[int(r.seed)%len(r.deployment.Zones)]
 	for _, node := range r.engines {
 		if node.zone == zone {
-			r.crashOne(node)
+			r.crashEngine(node)
 		}
 	}
 }
 
-func (r *run) crashOne(node *engineNode) {
+func (r *run) crashEngine(node *engineNode) {
 	node.crash()
 	r.clock.After(restartDelay, func() {
 		node.start()
