--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -173,15 +173,15 @@
 	node := p.run.engines[candidate.Engine]
 	rates := p.run.rates
 	cachedBlocks := node.model.CachedPrefix(context.Request.Chains[0].Blocks)
-	compute := p.tokensLeft(context.Request, cachedBlocks)
+	compute := p.uncachedTokens(context.Request, cachedBlocks)
 	copied, displaced := time.Duration(0), time.Duration(0)
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
 	if longestCached > cachedBlocks && source != node.name {
 		importTokens := (longestCached - cachedBlocks) * p.run.options.blockTokens()
-		importTime := seconds(float64(importTokens)/rates.ImportTokensPerSecond) + seconds(float64(p.tokensLeft(context.Request, longestCached))/rates.PrefillTokensPerSecond)
+		importTime := seconds(float64(importTokens)/rates.ImportTokensPerSecond) + seconds(float64(p.uncachedTokens(context.Request, longestCached))/rates.PrefillTokensPerSecond)
 		if importTime < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
 			candidate.ImportBlocks, candidate.ImportFrom = longestCached, source
-			compute, copied = p.tokensLeft(context.Request, longestCached), seconds(float64(importTokens)/rates.ImportTokensPerSecond)
+			compute, copied = p.uncachedTokens(context.Request, longestCached), seconds(float64(importTokens)/rates.ImportTokensPerSecond)
 			displaced = seconds(core.DisplacedFraction * float64(importTokens) / rates.PrefillTokensPerSecond)
 		}
 	}
@@ -192,7 +192,7 @@
 	candidate.Cost = context.Values.TimeWeight*candidate.Predicted.Seconds() + context.Values.RecomputeWeight*(work+displaced).Seconds()
 }
 
-func (p clairvoyantPlacer) tokensLeft(request *core.Request, blocks int) int {
+func (p clairvoyantPlacer) uncachedTokens(request *core.Request, blocks int) int {
 	return max(1, request.PromptTokens-blocks*p.run.options.blockTokens())
 }
 
