--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -161,7 +161,7 @@
 	best := -1
 	source, longestCached := p.run.longestCachedPrefix(chain)
 	for i := range candidates {
-		p.correct(context, &candidates[i], source, longestCached)
+		p.applyTrueState(context, &candidates[i], source, longestCached)
 		if best < 0 || candidates[i].Cost < candidates[best].Cost {
 			best = i
 		}
@@ -169,7 +169,7 @@
 	return best
 }
 
-func (p clairvoyantPlacer) correct(context core.PlacementContext, candidate *core.Candidate, source string, longestCached int) {
+func (p clairvoyantPlacer) applyTrueState(context core.PlacementContext, candidate *core.Candidate, source string, longestCached int) {
 	node := p.run.engines[candidate.Engine]
 	rates := p.run.rates
 	cachedBlocks := node.model.CachedPrefix(context.Request.Chains[0].Blocks)
