--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -88,7 +88,7 @@
 	freeAt             []time.Duration // by engine
 	known              []time.Duration // freeAt as deciders know it
 	knownAt            time.Duration
-	judge              admission.Controller
+	admission          admission.Controller
 	calls              goodputQueue
 	point              GoodputPoint
 	totalTimeToOutcome time.Duration
@@ -108,7 +108,7 @@
 	}
 	predicted := max(0, f.known[engine]-c.at)
 	request := admission.Request{Key: c.key, PredictedWait: predicted, Objective: goodputObjective, Random: f.random.Float64()}
-	if retryAfter, rejected := f.judge.Decide(c.at, request); rejected && f.refusal {
+	if retryAfter, rejected := f.admission.Decide(c.at, request); rejected && f.refusal {
 		f.turnAway(c, retryAfter)
 		return
 	}
@@ -136,7 +136,7 @@
 		f.totalTimeToOutcome += goodputDeadline
 		return
 	}
-	f.judge.ObserveWait(0, predicted, start-c.at)
+	f.admission.ObserveWait(0, predicted, start-c.at)
 	work := time.Duration(f.random.ExpFloat64() * float64(goodputServiceTime))
 	end := start + work
 	f.freeAt[engine] = min(end, deadline)
