--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -49,10 +49,10 @@
 	served := float64(goodputEngines) / goodputServiceTime.Seconds() // a second, by all engines
 	for at := time.Duration(0); at < goodputDuration; {
 		at += time.Duration(f.random.ExpFloat64() / (load * served) * float64(time.Second))
-		heap.Push(&f.calls, goodputAttempt{at: at, first: at, key: fmt.Sprint(len(f.calls), at)})
+		heap.Push(&f.attempts, goodputAttempt{at: at, first: at, key: fmt.Sprint(len(f.attempts), at)})
 	}
-	for f.calls.Len() > 0 {
-		f.place(heap.Pop(&f.calls).(goodputAttempt))
+	for f.attempts.Len() > 0 {
+		f.place(heap.Pop(&f.attempts).(goodputAttempt))
 	}
 	all := served * goodputDuration.Seconds()
 	p := f.point
@@ -89,7 +89,7 @@
 	known              []time.Duration // freeAt as deciders know it
 	knownAt            time.Duration
 	admission          admission.Controller
-	calls              goodputQueue
+	attempts           goodputQueue
 	point              GoodputPoint
 	totalTimeToOutcome time.Duration
 }
@@ -124,7 +124,7 @@
 		f.totalTimeToOutcome += c.at - c.first
 		return
 	}
-	heap.Push(&f.calls, goodputAttempt{at: c.at + min(retryAfter, left/waitShare), first: c.first, key: c.key, retries: c.retries + 1})
+	heap.Push(&f.attempts, goodputAttempt{at: c.at + min(retryAfter, left/waitShare), first: c.first, key: c.key, retries: c.retries + 1})
 }
 
 // serve runs a try on an engine; work on one whose caller leaves meanwhile is lost.
