--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -109,14 +109,14 @@
 	predicted := max(0, f.known[engine]-c.at)
 	request := admission.Request{Key: c.key, PredictedWait: predicted, Objective: goodputObjective, Random: f.random.Float64()}
 	if retryAfter, rejected := f.admission.Decide(c.at, request); rejected && f.refusal {
-		f.turnAway(c, retryAfter)
+		f.reject(c, retryAfter)
 		return
 	}
 	f.serve(c, engine, predicted)
 }
 
-// turnAway lets a caller come back, unless it has no time left for that.
-func (f *goodputFleet) turnAway(c goodputAttempt, retryAfter time.Duration) {
+// reject lets a caller come back, unless it has no time left for that.
+func (f *goodputFleet) reject(c goodputAttempt, retryAfter time.Duration) {
 	const waitShare = 3 // callers wait for a third of the time that they have left, at most
 	left := c.first + goodputDeadline - c.at
 	if c.retries >= goodputMaxRetries || left <= 0 {
