--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -17,15 +17,15 @@
 func Compare(options Options, policies []Policy, firstSeed uint64, seeds int) []Row {
 	rows := make([]Row, len(policies)*seeds)
 	workers := make(chan struct{}, runtime.NumCPU())
-	var runs sync.WaitGroup
+	var wg sync.WaitGroup
 	for at := range rows {
 		workers <- struct{}{}
-		runs.Go(func() {
+		wg.Go(func() {
 			rows[at] = Run(options, policies[at/seeds], firstSeed+uint64(at%seeds))
 			<-workers
 		})
 	}
-	runs.Wait()
+	wg.Wait()
 	return rows
 }
 
