--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -18,10 +18,10 @@
 	rows := make([]Row, len(policies)*seeds)
 	workers := make(chan struct{}, runtime.NumCPU())
 	var wg sync.WaitGroup
-	for at := range rows {
+	for i := range rows {
 		workers <- struct{}{}
 		wg.Go(func() {
-			rows[at] = Run(options, policies[at/seeds], firstSeed+uint64(at%seeds))
+			rows[i] = Run(options, policies[i/seeds], firstSeed+uint64(i%seeds))
 			<-workers
 		})
 	}
