--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -162,8 +162,8 @@
 }
 
 // sendPushback passes on what an engine says of itself, also where the attempt is over.
-func (n *routerNode) sendPushback(e *engineNode, pushback core.EventPushback) {
-	n.run.clock.After(n.latency(e), func() { n.tick(pushback) })
+func (n *routerNode) sendPushback(e *engineNode, event core.EventPushback) {
+	n.run.clock.After(n.latency(e), func() { n.tick(event) })
 }
 
 func (n *routerNode) cancel(attempt core.AttemptID) {
