--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -28,12 +28,12 @@
 
 // attempt joins a job to the router and the request it belongs to.
 type attempt struct {
-	router  *routerNode
-	request *pending
-	attempt core.AttemptID
-	tokens  int
-	lane    core.Lane
-	over    bool
+	router    *routerNode
+	request   *pending
+	attempt   core.AttemptID
+	tokens    int
+	lane      core.Lane
+	cancelled bool
 }
 
 func (e *engineNode) start() {
@@ -75,7 +75,7 @@
 // submit takes a job when it has come over the network.
 func (e *engineNode) submit(action core.ActionDispatch, s *attempt) {
 	e.adjustInFlight(s, -1)
-	if s.over {
+	if s.cancelled {
 		return
 	}
 	if e.down {
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -155,7 +155,7 @@
 func (n *routerNode) reply(e *engineNode, s *attempt, event core.EventAttempt) {
 	event.ID, event.Attempt, event.Echo = s.request.request.ID, s.attempt, s.attempt
 	n.run.clock.After(n.latency(e), func() {
-		if !s.over {
+		if !s.cancelled {
 			n.tick(event)
 		}
 	})
@@ -172,7 +172,7 @@
 		return
 	}
 	n.forget(attempt)
-	s.over = true
+	s.cancelled = true
 	n.run.clock.After(n.latency(e), func() {
 		if !e.down {
 			e.model.Cancel(n.zone, attempt)
