--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -139,16 +139,16 @@
 
 // longestCachedPrefix returns who holds the longest prefix of a chain, engine or vault.
 func (r *run) longestCachedPrefix(chain []prefix.Hash) (string, int) {
-	source, deepest := "", 0
+	source, longest := "", 0
 	for _, e := range r.engines {
-		if held := e.model.CachedPrefix(chain); !e.down && held > deepest {
-			source, deepest = e.name, held
+		if held := e.model.CachedPrefix(chain); !e.down && held > longest {
+			source, longest = e.name, held
 		}
 	}
-	if held := r.vault.cachedPrefix(chain); held > deepest {
+	if held := r.vault.cachedPrefix(chain); held > longest {
 		return vaultName, held
 	}
-	return source, deepest
+	return source, longest
 }
 
 // exportablePrefix tells how much of a chain a source can give.
