--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -141,8 +141,8 @@
 func (r *run) longestCachedPrefix(chain []prefix.Hash) (string, int) {
 	source, longest := "", 0
 	for _, e := range r.engines {
-		if held := e.model.CachedPrefix(chain); !e.down && held > longest {
-			source, longest = e.name, held
+		if cached := e.model.CachedPrefix(chain); !e.down && cached > longest {
+			source, longest = e.name, cached
 		}
 	}
 	if held := r.vault.cachedPrefix(chain); held > longest {
