--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -145,8 +145,8 @@
 			source, longest = e.name, cached
 		}
 	}
-	if held := r.vault.cachedPrefix(chain); held > longest {
-		return vaultName, held
+	if cached := r.vault.cachedPrefix(chain); cached > longest {
+		return vaultName, cached
 	}
 	return source, longest
 }
