--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -109,8 +109,8 @@
 	for _, output := range e.model.Advance(now) {
 		e.handleOutput(output)
 	}
-	due, any := e.model.NextWakeup()
-	if !any {
+	due, ok := e.model.NextWakeup()
+	if !ok {
 		return
 	}
 	incarnation := e.incarnation
