--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -88,7 +88,7 @@
 	for _, action := range n.core.Tick(now, events) {
 		n.perform(action)
 	}
-	if due, any := n.core.NextWakeup(); any {
+	if due, ok := n.core.NextWakeup(); ok {
 		n.alarm.Set(now, due, time.Millisecond, n.run.clock.After, func() { n.tick() })
 	}
 }
