--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -81,11 +81,11 @@
 	chain := output.Job.Blocks
 	first := output.Cached / m.run.options.blockTokens()
 	if first < len(chain) {
-		_, held := m.run.longestCachedPrefix(chain)
+		_, longestCached := m.run.longestCachedPrefix(chain)
 		for i, hash := range chain[first:] {
 			if m.computedBlocks[hash] {
 				recomputed += m.run.options.blockTokens()
-				if first+i < held {
+				if first+i < longestCached {
 					elsewhere += m.run.options.blockTokens()
 				}
 			}
