--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -114,12 +114,12 @@
 	}
 	waited := now - request.sentAt
 	_ = m.all.RecordValue(waited.Microseconds()) // the range covers the whole run
-	limit := m.run.deployment.Traffic.LongDeadline
+	deadline := m.run.deployment.Traffic.LongDeadline
 	if request.prompt.Short {
 		_ = m.interactive.RecordValue(waited.Microseconds())
-		limit = m.run.deployment.Traffic.InteractiveDeadline
+		deadline = m.run.deployment.Traffic.InteractiveDeadline
 	}
-	if waited <= limit {
+	if waited <= deadline {
 		m.inTime++
 	}
 }
