--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -112,14 +112,14 @@
 	if request.sentAt < warmUp {
 		return
 	}
-	waited := now - request.sentAt
-	_ = m.all.RecordValue(waited.Microseconds()) // the range covers the whole run
+	ttft := now - request.sentAt
+	_ = m.all.RecordValue(ttft.Microseconds()) // the range covers the whole run
 	deadline := m.run.deployment.Traffic.LongDeadline
 	if request.prompt.Short {
-		_ = m.interactive.RecordValue(waited.Microseconds())
+		_ = m.interactive.RecordValue(ttft.Microseconds())
 		deadline = m.run.deployment.Traffic.InteractiveDeadline
 	}
-	if waited <= deadline {
+	if ttft <= deadline {
 		m.inTime++
 	}
 }
