--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -23,15 +23,15 @@
 
 // Options describe an experiment.
 type Options struct {
-	Deployment *plan.Deployment
-	Tree       settings.Tree
-	Length     time.Duration // requests are sent until then
-	Scale      float64       // of the deployment's request rate
-	Disturbed  bool          // an engine crashes and the hot prefixes shift
-	CrashZone  bool          // all engines of a zone crash instead of one
-	Day        time.Duration // demand follows the sun with days of this length; 0 is not
-	Grain      int           // tokens of a block; 0 is 64
-	HashDepth  int           // blocks that the hash policies place by; 0 takes preamble, template and a part of the document
+	Deployment  *plan.Deployment
+	Tree        settings.Tree
+	Length      time.Duration // requests are sent until then
+	Scale       float64       // of the deployment's request rate
+	Disturbed   bool          // an engine crashes and the hot prefixes shift
+	CrashZone   bool          // all engines of a zone crash instead of one
+	Day         time.Duration // demand follows the sun with days of this length; 0 is not
+	BlockTokens int           // tokens of a block; 0 is 64
+	HashDepth   int           // blocks that the hash policies place by; 0 takes preamble, template and a part of the document
 }
 
 // hashedDocumentBlocks is how far into the document the hash policies look. Of the depths tried it served them best.
@@ -48,8 +48,8 @@
 const defaultBlockTokens = 64
 
 func (o Options) blockTokens() int {
-	if o.Grain > 0 {
-		return o.Grain
+	if o.BlockTokens > 0 {
+		return o.BlockTokens
 	}
 	return defaultBlockTokens
 }
