--- a/cmd/kitelab/bench.go
+++ b/cmd/kitelab/bench.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	options := bench.Options{Deployment: deployment, Tree: tree, Length: f.length, Scale: f.scale, Disturbed: !f.calm, HashDepth: f.hashDepth, BlockTokens: f.grain, Day: f.day, CrashZone: f.crashZone}
+	options := bench.Options{Deployment: deployment, Tree: tree, Length: f.length, Scale: f.scale, Disturbed: !f.calm, HashDepth: f.hashDepth, BlockTokens: f.grain, DayLength: f.day, CrashZone: f.crashZone}
 	policies := bench.Policies()
 	if f.only != "" {
 		policies = []bench.Policy{bench.Policy(f.only)}
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -29,7 +29,7 @@
 	Scale       float64       // of the deployment's request rate
 	Disturbed   bool          // an engine crashes and the hot prefixes shift
 	CrashZone   bool          // all engines of a zone crash instead of one
-	Day         time.Duration // demand follows the sun with days of this length; 0 is not
+	DayLength   time.Duration // demand follows the sun with days of this length; 0 is not
 	BlockTokens int           // tokens of a block; 0 is 64
 	HashDepth   int           // blocks that the hash policies place by; 0 takes preamble, template and a part of the document
 }
@@ -89,7 +89,7 @@
 	r.rates.CacheBlocks = r.rates.CacheBlocks * defaultBlockTokens / options.blockTokens() // the same memory
 	r.vault.limit = r.vault.limit * defaultBlockTokens / options.blockTokens()
 	r.measure = newMeasure(r)
-	r.traffic.FollowSun(options.Day)
+	r.traffic.FollowSun(options.DayLength)
 	r.createNodes()
 	r.clock.After(time.Second, r.sendNext)
 	if options.Disturbed {
