--- a/cmd/kitelab/bench.go
+++ b/cmd/kitelab/bench.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	options := bench.Options{Deployment: deployment, Tree: tree, Length: f.length, Scale: f.scale, Disturbed: !f.calm, HashDepth: f.hashDepth, BlockTokens: f.grain, DayLength: f.day, CrashZone: f.crashZone}
+	options := bench.Options{Deployment: deployment, Tree: tree, Length: f.length, Scale: f.scale, InjectFaults: !f.calm, HashDepth: f.hashDepth, BlockTokens: f.grain, DayLength: f.day, CrashZone: f.crashZone}
 	policies := bench.Policies()
 	if f.only != "" {
 		policies = []bench.Policy{bench.Policy(f.only)}
@@ -111,7 +111,7 @@
 // runOverload compares the hash policies and the router at increasing request rates, without crashes or shifts of hot
 // prefixes.
 func (f *benchFlags) runOverload(options bench.Options) error {
-	options.Disturbed = false
+	options.InjectFaults = false
 	var all []bench.Row
 	var text strings.Builder
 	for _, scale := range overloadScales {
--- a/internal/lab/bench/plots.go
+++ b/internal/lab/bench/plots.go
@@ -93,7 +93,7 @@
 func plotHitRate(folder, deployment string, rows []Row, options Options) error {
 	p := plot.New()
 	p.Title.Text = deployment + ": prefix hit rate"
-	if options.Disturbed {
+	if options.InjectFaults {
 		p.Title.Text += ", engine crash at " + options.crashAt().String() + ", shift at " + options.shiftAt().String()
 	}
 	p.X.Label.Text, p.Y.Label.Text = "s", "share of prompt tokens"
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -23,15 +23,15 @@
 
 // Options describe an experiment.
 type Options struct {
-	Deployment  *plan.Deployment
-	Tree        settings.Tree
-	Length      time.Duration // requests are sent until then
-	Scale       float64       // of the deployment's request rate
-	Disturbed   bool          // an engine crashes and the hot prefixes shift
-	CrashZone   bool          // all engines of a zone crash instead of one
-	DayLength   time.Duration // demand follows the sun with days of this length; 0 is not
-	BlockTokens int           // tokens of a block; 0 is 64
-	HashDepth   int           // blocks that the hash policies place by; 0 takes preamble, template and a part of the document
+	Deployment   *plan.Deployment
+	Tree         settings.Tree
+	Length       time.Duration // requests are sent until then
+	Scale        float64       // of the deployment's request rate
+	InjectFaults bool          // an engine crashes and the hot prefixes shift
+	CrashZone    bool          // all engines of a zone crash instead of one
+	DayLength    time.Duration // demand follows the sun with days of this length; 0 is not
+	BlockTokens  int           // tokens of a block; 0 is 64
+	HashDepth    int           // blocks that the hash policies place by; 0 takes preamble, template and a part of the document
 }
 
 // hashedDocumentBlocks is how far into the document the hash policies look. Of the depths tried it served them best.
@@ -92,7 +92,7 @@
 	r.traffic.FollowSun(options.DayLength)
 	r.createNodes()
 	r.clock.After(time.Second, r.sendNext)
-	if options.Disturbed {
+	if options.InjectFaults {
 		r.clock.After(options.crashAt(), r.crash)
 		r.clock.After(options.shiftAt(), r.traffic.ShiftHotTemplates)
 	}
