--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -46,15 +46,15 @@
 	f := &goodputFleet{random: rand.New(rand.NewPCG(seed, seed)), refusal: refusal, freeAt: make([]time.Duration, goodputEngines)}
 	f.known = make([]time.Duration, goodputEngines)
 	f.point = GoodputPoint{Load: load, Refusal: refusal}
-	served := float64(goodputEngines) / goodputServiceTime.Seconds() // a second, by all engines
+	capacity := float64(goodputEngines) / goodputServiceTime.Seconds() // a second, by all engines
 	for at := time.Duration(0); at < goodputDuration; {
-		at += time.Duration(f.random.ExpFloat64() / (load * served) * float64(time.Second))
+		at += time.Duration(f.random.ExpFloat64() / (load * capacity) * float64(time.Second))
 		heap.Push(&f.attempts, goodputAttempt{at: at, first: at, key: fmt.Sprint(len(f.attempts), at)})
 	}
 	for f.attempts.Len() > 0 {
 		f.place(heap.Pop(&f.attempts).(goodputAttempt))
 	}
-	all := served * goodputDuration.Seconds()
+	all := capacity * goodputDuration.Seconds()
 	p := f.point
 	return GoodputPoint{
 		Load: load, Refusal: refusal, InTime: p.InTime / all, Late: p.Late / all, Refused: p.Refused / all, Lost: p.Lost / all,
