--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -54,10 +54,10 @@
 	for f.attempts.Len() > 0 {
 		f.place(heap.Pop(&f.attempts).(goodputAttempt))
 	}
-	all := capacity * goodputDuration.Seconds()
+	totalCapacity := capacity * goodputDuration.Seconds()
 	p := f.point
 	return GoodputPoint{
-		Load: load, Refusal: refusal, InTime: p.InTime / all, Late: p.Late / all, Refused: p.Refused / all, Lost: p.Lost / all,
+		Load: load, Refusal: refusal, InTime: p.InTime / totalCapacity, Late: p.Late / totalCapacity, Refused: p.Refused / totalCapacity, Lost: p.Lost / totalCapacity,
 		MeanTimeToOutcome: float64(f.totalTimeToOutcome.Milliseconds()) / max(1, p.InTime+p.Late+p.Refused+p.Lost),
 	}
 }
