--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -44,7 +44,7 @@
 // Goodput plays one load, with or without refusing in time.
 func Goodput(load float64, refusal bool, seed uint64) GoodputPoint {
 	f := &goodputFleet{random: rand.New(rand.NewPCG(seed, seed)), refusal: refusal, freeAt: make([]time.Duration, goodputEngines)}
-	f.known = make([]time.Duration, goodputEngines)
+	f.knownFreeAt = make([]time.Duration, goodputEngines)
 	f.point = GoodputPoint{Load: load, Refusal: refusal}
 	capacity := float64(goodputEngines) / goodputServiceTime.Seconds() // a second, by all engines
 	for at := time.Duration(0); at < goodputDuration; {
@@ -86,7 +86,7 @@
 	random             *rand.Rand
 	refusal            bool
 	freeAt             []time.Duration // by engine
-	known              []time.Duration // freeAt as deciders know it
+	knownFreeAt        []time.Duration // freeAt as deciders know it
 	knownAt            time.Duration
 	admission          admission.Controller
 	attempts           goodputQueue
@@ -97,16 +97,16 @@
 // place places one try, or turns it away.
 func (f *goodputFleet) place(c goodputAttempt) {
 	if c.at >= f.knownAt+goodputStaleness {
-		copy(f.known, f.freeAt)
+		copy(f.knownFreeAt, f.freeAt)
 		f.knownAt = c.at
 	}
 	engine := f.random.IntN(goodputEngines)
 	for range goodputChoices - 1 {
-		if other := f.random.IntN(goodputEngines); f.known[other] < f.known[engine] {
+		if other := f.random.IntN(goodputEngines); f.knownFreeAt[other] < f.knownFreeAt[engine] {
 			engine = other
 		}
 	}
-	predicted := max(0, f.known[engine]-c.at)
+	predicted := max(0, f.knownFreeAt[engine]-c.at)
 	request := admission.Request{Key: c.key, PredictedWait: predicted, Objective: goodputObjective, Random: f.random.Float64()}
 	if retryAfter, rejected := f.admission.Decide(c.at, request); rejected && f.refusal {
 		f.reject(c, retryAfter)
