--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -23,7 +23,7 @@
 	goodputObjective   = 800 * time.Millisecond
 	goodputDeadline    = 5 * time.Second
 	goodputDuration    = 40 * time.Second
-	goodputChoices     = 4 // engines that are looked at for a request
+	goodputCandidates  = 4 // engines that are looked at for a request
 	goodputMaxRetries  = 2 // times that a caller comes back
 )
 
@@ -101,7 +101,7 @@
 		f.knownAt = c.at
 	}
 	engine := f.random.IntN(goodputEngines)
-	for range goodputChoices - 1 {
+	for range goodputCandidates - 1 {
 		if other := f.random.IntN(goodputEngines); f.knownFreeAt[other] < f.knownFreeAt[engine] {
 			engine = other
 		}
