--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -117,14 +117,14 @@
 
 // reject lets a caller come back, unless it has no time left for that.
 func (f *goodputFleet) reject(c goodputAttempt, retryAfter time.Duration) {
-	const waitShare = 3 // callers wait for a third of the time that they have remaining, at most
+	const maxWaitDivisor = 3 // callers wait for a third of the time that they have remaining, at most
 	remaining := c.first + goodputDeadline - c.at
 	if c.retries >= goodputMaxRetries || remaining <= 0 {
 		f.point.Refused++
 		f.totalTimeToOutcome += c.at - c.first
 		return
 	}
-	heap.Push(&f.attempts, goodputAttempt{at: c.at + min(retryAfter, remaining/waitShare), first: c.first, key: c.key, retries: c.retries + 1})
+	heap.Push(&f.attempts, goodputAttempt{at: c.at + min(retryAfter, remaining/maxWaitDivisor), first: c.first, key: c.key, retries: c.retries + 1})
 }
 
 // serve runs a try on an engine; work on one whose caller leaves meanwhile is lost.
