--- a/internal/lab/bench/goodput_test.go
+++ b/internal/lab/bench/goodput_test.go
@@ -11,8 +11,8 @@
 			peak[p.Refusal] = max(peak[p.Refusal], p.InTime)
 			at[p.Refusal][p.Load] = p.InTime
 		}
-		if with := at[true][2]; with < 0.9*peak[true] {
-			t.Errorf("seed %d: %.3f in time at twice the load, %.3f at the peak", seed, with, peak[true])
+		if rejected := at[true][2]; rejected < 0.9*peak[true] {
+			t.Errorf("seed %d: %.3f in time at twice the load, %.3f at the peak", seed, rejected, peak[true])
 		}
 		if without := at[false][2]; without > 0.5*peak[false] {
 			t.Errorf("seed %d: the stand-in does not collapse: %.3f of %.3f", seed, without, peak[false])
