--- a/internal/lab/bench/goodput_test.go
+++ b/internal/lab/bench/goodput_test.go
@@ -14,8 +14,8 @@
 		if rejected := at[true][2]; rejected < 0.9*peak[true] {
 			t.Errorf("seed %d: %.3f in time at twice the load, %.3f at the peak", seed, rejected, peak[true])
 		}
-		if without := at[false][2]; without > 0.5*peak[false] {
-			t.Errorf("seed %d: the stand-in does not collapse: %.3f of %.3f", seed, without, peak[false])
+		if accepted := at[false][2]; accepted > 0.5*peak[false] {
+			t.Errorf("seed %d: the stand-in does not collapse: %.3f of %.3f", seed, accepted, peak[false])
 		}
 		if rejecting := at[true][0.5]; rejecting < 0.98*at[false][0.5] {
 			t.Errorf("seed %d: %.3f in time at half the load, %.3f without refusals", seed, rejecting, at[false][0.5])
