--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -127,9 +127,9 @@
 	if !p.bounded {
 		return order[0]
 	}
-	bound := maxLoadFactor * float64(total+1) / float64(len(candidates))
+	maxRunning := maxLoadFactor * float64(total+1) / float64(len(candidates))
 	for _, i := range order {
-		if float64(candidates[i].Running) < max(1, bound) {
+		if float64(candidates[i].Running) < max(1, maxRunning) {
 			return i
 		}
 	}
