--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -48,7 +48,7 @@
 	case PrefixHash:
 		return prefixHashPlacer{depth: r.options.hashDepth()}
 	case BoundedPrefixHash:
-		return prefixHashPlacer{depth: r.options.hashDepth(), bounded: true}
+		return prefixHashPlacer{depth: r.options.hashDepth(), limitLoad: true}
 	case Clairvoyant:
 		return clairvoyantPlacer{run: r}
 	}
@@ -105,8 +105,8 @@
 // have much more than the mean load.
 type prefixHashPlacer struct {
 	noImports
-	depth   int // blocks of the prompt that are hashed
-	bounded bool
+	depth     int // blocks of the prompt that are hashed
+	limitLoad bool
 }
 
 // Pick returns the candidate with the highest hash that the bound allows.
@@ -124,7 +124,7 @@
 		}
 		return 1
 	})
-	if !p.bounded {
+	if !p.limitLoad {
 		return order[0]
 	}
 	maxRunning := maxLoadFactor * float64(total+1) / float64(len(candidates))
