--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -66,7 +66,7 @@
 			return nil, err
 		}
 		g.servers, g.stops = append(g.servers, server), append(g.stops, stop)
-		go as(roleControl, func() { _ = server.Run(own) }) // ends with ctx
+		go runWithRole(roleControl, func() { _ = server.Run(own) }) // ends with ctx
 	}
 	g.client = control.NewClient(transport.NewClient(clusterToken, nil), g.addresses)
 	_, err := g.ask(formTimeout, control.Request{Read: &control.Read{}})
@@ -128,7 +128,7 @@
 	for ; h.count < count; h.count++ {
 		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.prefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, heartbeatEvery, guard.Set{})
 		h.leased.Add(1)
-		go as(roleHollow, func() { h.renew(machine) })
+		go runWithRole(roleHollow, func() { h.renew(machine) })
 	}
 	h.leased.Wait()
 }
@@ -225,7 +225,7 @@
 	var spent time.Duration
 	for worker := range clients {
 		workers.Go(func() {
-			as(roleHollow, func() {
+			runWithRole(roleHollow, func() {
 				for i := 0; time.Now().Before(until); i++ {
 					begun := time.Now()
 					claim := ledger.Claim{Key: ledger.Key{Tenant: "t", Service: "s", Key: fmt.Sprintf("%d-%d", worker, i)}, Digest: 1,
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -25,8 +25,8 @@
 
 const roleLabel = "role"
 
-// as runs something with its processor time counted for a role; goroutines that it starts are counted too.
-func as(role string, run func()) {
+// runWithRole runs something with its processor time counted for a role; goroutines that it starts are counted too.
+func runWithRole(role string, run func()) {
 	pprof.Do(context.Background(), pprof.Labels(roleLabel, role), func(context.Context) { run() })
 }
 
--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -64,7 +64,7 @@
 }
 
 func serveUntil(ctx context.Context, server *http.Server, serve func(*http.Server)) {
-	go as(roleHollow, func() { serve(server) })
+	go runWithRole(roleHollow, func() { serve(server) })
 	go func() {
 		<-ctx.Done()
 		_ = server.Close()
@@ -141,7 +141,7 @@
 	if err != nil {
 		return "", err
 	}
-	go as(roleRouter, func() { _ = server.Run(ctx) }) // ends with ctx
+	go runWithRole(roleRouter, func() { _ = server.Run(ctx) }) // ends with ctx
 	deadline := time.Now().Add(readyLimit)
 	for time.Now().Before(deadline) {
 		if ready(listen, backends) {
@@ -280,7 +280,7 @@
 	for number := range int(length.Seconds() * float64(rate)) {
 		time.Sleep(time.Until(started.Add(time.Duration(number) * time.Second / time.Duration(rate))))
 		requests.Go(func() {
-			as(roleHollow, func() {
+			runWithRole(roleHollow, func() {
 				took, err := one(number)
 				mutex.Lock()
 				defer mutex.Unlock()
