--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -128,7 +128,7 @@
 	for ; h.count < count; h.count++ {
 		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.prefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, heartbeatEvery, guard.Set{})
 		h.leased.Add(1)
-		go runWithRole(roleHollow, func() { h.renew(machine) })
+		go runWithRole(roleEmulated, func() { h.renew(machine) })
 	}
 	h.leased.Wait()
 }
@@ -225,7 +225,7 @@
 	var spent time.Duration
 	for worker := range clients {
 		workers.Go(func() {
-			runWithRole(roleHollow, func() {
+			runWithRole(roleEmulated, func() {
 				for i := 0; time.Now().Before(until); i++ {
 					begun := time.Now()
 					claim := ledger.Claim{Key: ledger.Key{Tenant: "t", Service: "s", Key: fmt.Sprintf("%d-%d", worker, i)}, Digest: 1,
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -18,9 +18,9 @@
 
 // Roles by which processor time is told apart.
 const (
-	roleControl = "control"
-	roleRouter  = "router"
-	roleHollow  = "hollow" // everything that only stands for others
+	roleControl  = "control"
+	roleRouter   = "router"
+	roleEmulated = "hollow" // everything that only stands for others
 )
 
 const roleLabel = "role"
--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -64,7 +64,7 @@
 }
 
 func serveUntil(ctx context.Context, server *http.Server, serve func(*http.Server)) {
-	go runWithRole(roleHollow, func() { serve(server) })
+	go runWithRole(roleEmulated, func() { serve(server) })
 	go func() {
 		<-ctx.Done()
 		_ = server.Close()
@@ -280,7 +280,7 @@
 	for number := range int(length.Seconds() * float64(rate)) {
 		time.Sleep(time.Until(started.Add(time.Duration(number) * time.Second / time.Duration(rate))))
 		requests.Go(func() {
-			runWithRole(roleHollow, func() {
+			runWithRole(roleEmulated, func() {
 				took, err := one(number)
 				mutex.Lock()
 				defer mutex.Unlock()
