--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -37,13 +37,13 @@
 }
 
 // measure runs a phase of a length and returns the processor time by role.
-func measure(length time.Duration, during func()) (Usage, error) {
+func measure(length time.Duration, workload func()) (Usage, error) {
 	var raw bytes.Buffer
 	if err := pprof.StartCPUProfile(&raw); err != nil {
 		return Usage{}, eris.Wrap(err, "start profile")
 	}
 	started := time.Now()
-	during()
+	workload()
 	time.Sleep(time.Until(started.Add(length)))
 	wall := time.Since(started)
 	pprof.StopCPUProfile()
