--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -37,14 +37,14 @@
 }
 
 // measure runs a phase of a length and returns the processor time by role.
-func measure(length time.Duration, workload func()) (Usage, error) {
+func measure(duration time.Duration, workload func()) (Usage, error) {
 	var raw bytes.Buffer
 	if err := pprof.StartCPUProfile(&raw); err != nil {
 		return Usage{}, eris.Wrap(err, "start profile")
 	}
 	started := time.Now()
 	workload()
-	time.Sleep(time.Until(started.Add(length)))
+	time.Sleep(time.Until(started.Add(duration)))
 	wall := time.Since(started)
 	pprof.StopCPUProfile()
 	parsed, err := profile.Parse(&raw)
