--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -57,7 +57,7 @@
 // byRole sums samples by label and spreads those without one.
 func byRole(parsed *profile.Profile, wall time.Duration) map[string]float64 {
 	cores := map[string]float64{}
-	labelled, other := 0.0, 0.0
+	labelled, unlabelled := 0.0, 0.0
 	for _, sample := range parsed.Sample {
 		seconds := time.Duration(sample.Value[len(sample.Value)-1]).Seconds()
 		if role := sample.Label[roleLabel]; len(role) > 0 {
@@ -65,10 +65,10 @@
 			labelled += seconds
 			continue
 		}
-		other += seconds
+		unlabelled += seconds
 	}
 	for role := range cores {
-		cores[role] *= (1 + other/max(labelled, 1e-9)) / wall.Seconds()
+		cores[role] *= (1 + unlabelled/max(labelled, 1e-9)) / wall.Seconds()
 	}
 	return cores
 }
