--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -73,8 +73,8 @@
 	return cores
 }
 
-// heap returns the bytes in use after a collection.
-func heap() float64 {
+// heapInUse returns the bytes in use after a collection.
+func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -149,14 +149,14 @@
 	var points []Point
 	for _, size := range sizes {
 		p.engines.tokenEvery = every
-		before := heap()
+		before := heapInUse()
 		done := make(chan int, 1)
 		go func() {
 			_, failed := drive(int(float64(size)/opening.Seconds()), opening, p.routed(tokens))
 			done <- failed
 		}()
 		time.Sleep(opening + after)
-		points = append(points, Point{float64(size), heap() - before})
+		points = append(points, Point{float64(size), heapInUse() - before})
 		if failed := <-done; failed > 0 {
 			return eris.Errorf("%d of %d streams failed", failed, size)
 		}
@@ -172,11 +172,11 @@
 	if _, failed := drive(rate, part, p.routed(2)); failed > 0 {
 		return eris.Errorf("%d requests failed", failed)
 	}
-	early := heap()
+	early := heapInUse()
 	if _, failed := drive(rate, 9*part, p.routed(2)); failed > 0 {
 		return eris.Errorf("%d requests failed", failed)
 	}
-	late := heap()
+	late := heapInUse()
 	report.figure(roleRouter, fmt.Sprintf("heap after %d requests, whole process", count/10), "bytes", early)
 	report.figure(roleRouter, fmt.Sprintf("heap after %d requests, whole process", count), "bytes", late)
 	return nil
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -28,12 +28,12 @@
 func measureIndex(report *Report, sizes []int) {
 	var memory, change []Point
 	for _, size := range sizes {
-		before := heap()
+		before := heapInUse()
 		index := prefix.NewIndex(2 * size)
 		for number := range size / runOfBlocks {
 			index.Add(prefix.EngineID(number%300), chainNumber(number, runOfBlocks), 0, prefix.SourceEvent)
 		}
-		memory = append(memory, Point{float64(index.Len()), heap() - before})
+		memory = append(memory, Point{float64(index.Len()), heapInUse() - before})
 		runs := size / runOfBlocks / 2
 		started := time.Now()
 		for number := range runs {
@@ -51,7 +51,7 @@
 func measureLedger(report *Report, sizes []int) error {
 	var memory, snapshot []Point
 	for _, size := range sizes {
-		before := heap()
+		before := heapInUse()
 		book := ledger.New()
 		for i := range size {
 			key := ledger.Key{Tenant: "rwanda-university", Service: "app-service", Key: fmt.Sprintf("transcript-%08d", i)}
@@ -59,7 +59,7 @@
 			book.Claim(ledger.Claim{Key: key, Digest: uint64(i), ClaimID: id, Holder: ledger.Holder{Router: "router-1", Epoch: 7}, RetentionMS: 86_400_000}, 0, true)
 			book.End(ledger.End{Key: key, ClaimID: id, Kind: ledger.EndFinished, Response: &ledger.Response{Status: 200, ContentType: "application/json", Body: []byte(`{"confirmed":"54a9b2526a9cd9a1"}`)}}, 0)
 		}
-		memory = append(memory, Point{float64(size), heap() - before})
+		memory = append(memory, Point{float64(size), heapInUse() - before})
 		data, err := json.Marshal(book)
 		if err != nil {
 			return err
@@ -92,9 +92,9 @@
 	var memory, wire []Point
 	var tree settings.Tree
 	for _, size := range sizes {
-		before := heap()
+		before := heapInUse()
 		tree = tenantTree(size, services)
-		memory = append(memory, Point{float64(size), heap() - before})
+		memory = append(memory, Point{float64(size), heapInUse() - before})
 		data, err := json.Marshal(tree)
 		if err != nil {
 			return err
