--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -111,14 +111,14 @@
 type hollowRouters struct {
 	group   *group
 	client  *control.Client
-	counter *counter
+	counter *trafficCounter
 	leased  sync.WaitGroup
 	count   int
 	prefix  string // of the routers' names
 }
 
 func newHollowRouters(g *group) *hollowRouters {
-	h := &hollowRouters{group: g, counter: &counter{}, prefix: "hollow"}
+	h := &hollowRouters{group: g, counter: &trafficCounter{}, prefix: "hollow"}
 	h.client = control.NewClient(transport.NewClientWithDialer(clusterToken, h.counter.dial), g.addresses)
 	return h
 }
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -82,17 +82,17 @@
 	return float64(stats.HeapAlloc)
 }
 
-// counter counts the bytes and connections that pass.
-type counter struct {
+// trafficCounter counts the bytes and connections that pass.
+type trafficCounter struct {
 	in, out atomic.Int64
 }
 
-func (c *counter) total() float64 { return float64(c.in.Load() + c.out.Load()) }
+func (c *trafficCounter) total() float64 { return float64(c.in.Load() + c.out.Load()) }
 
 // countedConn counts what passes through a connection.
 type countedConn struct {
 	net.Conn
-	counter *counter
+	counter *trafficCounter
 }
 
 // Read reads and counts.
@@ -110,7 +110,7 @@
 }
 
 // dial makes connections that are counted.
-func (c *counter) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (c *trafficCounter) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	connection, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 // countedListener counts what passes through accepted connections.
 type countedListener struct {
 	net.Listener
-	counter *counter
+	counter *trafficCounter
 }
 
 // Accept accepts a connection that is counted.
@@ -134,7 +134,7 @@
 }
 
 // listen opens a counted listener on a free loopback port.
-func (c *counter) listen() (net.Listener, error) {
+func (c *trafficCounter) listen() (net.Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, eris.Wrap(err, "listen on loopback")
--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -33,7 +33,7 @@
 
 // hollowEngines answer polls and attempts without any model behind them.
 type hollowEngines struct {
-	counter  counter
+	counter  trafficCounter
 	machines []core.Machine
 	started  time.Time
 	// blockChanges is how many blocks an engine reports as stored, and as many as evicted, each second.
@@ -54,7 +54,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathMachines, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, api.MachinesReply{Machines: h.machines}) })
-	listener, err := (&counter{}).listen()
+	listener, err := (&trafficCounter{}).listen()
 	if err != nil {
 		return nil, err
 	}
