--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -25,7 +25,7 @@
 	replicas       = 3
 	heartbeat      = 100 * time.Millisecond // of the leader
 	heartbeatEvery = 500 * time.Millisecond // of routers
-	askTimeout     = 5 * time.Second
+	requestTimeout = 5 * time.Second
 	formTimeout    = 20 * time.Second
 )
 
@@ -81,12 +81,12 @@
 
 // change makes one edit of the newest version and returns the version it became.
 func (g *group) change(edits ...settings.Edit) (uint64, error) {
-	read, err := g.req(askTimeout, control.Request{Read: &control.Read{}})
+	read, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
 	if err != nil {
 		return 0, err
 	}
 	id := fmt.Sprintf("scale-%d", time.Now().UnixNano())
-	response, err := g.req(askTimeout, control.Request{Change: &settings.Change{Base: read.Read.Version, OperationID: id, Edits: edits}})
+	response, err := g.req(requestTimeout, control.Request{Change: &settings.Change{Base: read.Read.Version, OperationID: id, Edits: edits}})
 	if err != nil {
 		return 0, err
 	}
@@ -99,7 +99,7 @@
 // inForce waits until a version is in force everywhere.
 func (g *group) inForce(version uint64) error {
 	for {
-		read, err := g.req(askTimeout, control.Request{Read: &control.Read{}})
+		read, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
 		if err != nil || read.Read.InForce >= version {
 			return err
 		}
@@ -138,7 +138,7 @@
 	started, first := time.Now(), true
 	for h.group.ctx.Err() == nil {
 		beat := machine.Heartbeat()
-		ctx, cancel := context.WithTimeout(h.group.ctx, askTimeout)
+		ctx, cancel := context.WithTimeout(h.group.ctx, requestTimeout)
 		response, err := h.client.AskOnce(ctx, control.Request{Heartbeat: &beat})
 		cancel()
 		pause := session.FastHeartbeatInterval
@@ -212,7 +212,7 @@
 // measureClaims measures the run ledger: claims a second at three replicas, and the share of the leader's sync.
 func measureClaims(g *group, report *Report, clients int, length time.Duration) error {
 	beat := control.Heartbeat{Router: "claimer", Incarnation: 1, Zone: "z"}
-	opened, err := g.req(askTimeout, control.Request{Heartbeat: &beat})
+	opened, err := g.req(requestTimeout, control.Request{Heartbeat: &beat})
 	if err != nil {
 		return err
 	}
@@ -230,7 +230,7 @@
 					begun := time.Now()
 					claim := ledger.Claim{Key: ledger.Key{Tenant: "t", Service: "s", Key: fmt.Sprintf("%d-%d", worker, i)}, Digest: 1,
 						ClaimID: fmt.Sprintf("%d-%d", worker, i), Holder: holder, RetentionMS: 86_400_000}
-					response, err := g.req(askTimeout, control.Request{Claim: &claim})
+					response, err := g.req(requestTimeout, control.Request{Claim: &claim})
 					mutex.Lock()
 					if err == nil && response.Claim.Kind == ledger.Granted {
 						granted++
@@ -272,7 +272,7 @@
 
 // measureLeaderLoss ends the leading replica and measures the time until the next change is accepted.
 func measureLeaderLoss(g *group, report *Report) error {
-	response, err := g.req(askTimeout, control.Request{Read: &control.Read{}})
+	response, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
 	if err != nil {
 		return err
 	}
