--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	clusterToken   = "scale"
-	replicas       = 3
-	heartbeat      = 100 * time.Millisecond // of the leader
-	heartbeatEvery = 500 * time.Millisecond // of routers
-	requestTimeout = 5 * time.Second
-	formTimeout    = 20 * time.Second
+	clusterToken    = "scale"
+	replicas        = 3
+	heartbeat       = 100 * time.Millisecond // of the leader
+	heartbeatEvery  = 500 * time.Millisecond // of routers
+	requestTimeout  = 5 * time.Second
+	electionTimeout = 20 * time.Second
 )
 
 // group is a control group of real replicas.
@@ -69,7 +69,7 @@
 		go runWithRole(roleControl, func() { _ = server.Run(own) }) // ends with ctx
 	}
 	g.client = control.NewClient(transport.NewClient(clusterToken, nil), g.addresses)
-	_, err := g.req(formTimeout, control.Request{Read: &control.Read{}})
+	_, err := g.req(electionTimeout, control.Request{Read: &control.Read{}})
 	return g, err
 }
 
@@ -284,7 +284,7 @@
 		}
 	}
 	change := settings.Change{Base: version, OperationID: "after-loss", Edits: []settings.Edit{{Path: "/", Setting: "queue_limit", Value: json.RawMessage("321")}}}
-	if _, err := g.req(formTimeout, control.Request{Change: &change}); err != nil {
+	if _, err := g.req(electionTimeout, control.Request{Change: &change}); err != nil {
 		return err
 	}
 	took := time.Since(started)
