--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	clusterToken    = "scale"
-	replicas        = 3
-	heartbeat       = 100 * time.Millisecond // of the leader
-	heartbeatEvery  = 500 * time.Millisecond // of routers
-	requestTimeout  = 5 * time.Second
-	electionTimeout = 20 * time.Second
+	clusterToken            = "scale"
+	replicas                = 3
+	leaderHeartbeatInterval = 100 * time.Millisecond // of the leader
+	heartbeatEvery          = 500 * time.Millisecond // of routers
+	requestTimeout          = 5 * time.Second
+	electionTimeout         = 20 * time.Second
 )
 
 // group is a control group of real replicas.
@@ -54,7 +54,7 @@
 		g.addresses = append(g.addresses, internal)
 		name := fmt.Sprintf("control-%d", i+1)
 		files = append(files, &node.File{Name: name, Zone: "z", DataDir: filepath.Join(folder, name), ClusterToken: clusterToken, AdminToken: clusterToken,
-			Control: &node.Control{InternalAddress: internal, Admin: admin, Replicas: replicas, Platform: platform, Heartbeat: heartbeat,
+			Control: &node.Control{InternalAddress: internal, Admin: admin, Replicas: replicas, Platform: platform, Heartbeat: leaderHeartbeatInterval,
 				SettingsLease: 3 * time.Second, RepairAfter: time.Minute, SnapshotEvery: 5000}})
 	}
 	for _, file := range files {
@@ -289,6 +289,6 @@
 	}
 	took := time.Since(started)
 	report.figure(roleControl, "loss of the leader until the next accepted change", "s", took.Seconds())
-	report.figure(roleControl, "the same in heartbeats", "heartbeats", took.Seconds()/heartbeat.Seconds())
+	report.figure(roleControl, "the same in heartbeats", "heartbeats", took.Seconds()/leaderHeartbeatInterval.Seconds())
 	return nil
 }
