--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -24,7 +24,7 @@
 	clusterToken            = "scale"
 	replicas                = 3
 	leaderHeartbeatInterval = 100 * time.Millisecond // of the leader
-	heartbeatEvery          = 500 * time.Millisecond // of routers
+	routerHeartbeatInterval = 500 * time.Millisecond // of routers
 	requestTimeout          = 5 * time.Second
 	electionTimeout         = 20 * time.Second
 )
@@ -126,7 +126,7 @@
 // grow adds routers until there are count, and waits until each has a lease.
 func (h *hollowRouters) grow(count int) {
 	for ; h.count < count; h.count++ {
-		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.prefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, heartbeatEvery, guard.Set{})
+		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.prefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, routerHeartbeatInterval, guard.Set{})
 		h.leased.Add(1)
 		go runWithRole(roleEmulated, func() { h.renew(machine) })
 	}
@@ -166,7 +166,7 @@
 	var cores, traffic []Point
 	for _, size := range sizes {
 		hollow.grow(size)
-		time.Sleep(heartbeatEvery)
+		time.Sleep(routerHeartbeatInterval)
 		before := hollow.counter.total()
 		usage, err := measure(length, func() {})
 		if err != nil {
--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -136,7 +136,7 @@
 	}
 	file := &node.File{Name: "router", Zone: "z", DataDir: filepath.Join(folder, "router"), ClusterToken: clusterToken, AdminToken: clusterToken,
 		Router: &node.Router{Listen: listen, Control: g.addresses, Platform: platform, PrefixKey: strings.Repeat("01", prefix.KeyBytes), BlockTokens: 64,
-			IndexBlocks: 2_000_000, PollInterval: 100 * time.Millisecond, HeartbeatInterval: heartbeatEvery, DrainTimeout: time.Second, MaxConnections: 10_000}}
+			IndexBlocks: 2_000_000, PollInterval: 100 * time.Millisecond, HeartbeatInterval: routerHeartbeatInterval, DrainTimeout: time.Second, MaxConnections: 10_000}}
 	server, err := router.NewServer(ctx, file, zap.NewNop())
 	if err != nil {
 		return "", err
