--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -59,14 +59,14 @@
 	}
 	for _, file := range files {
 		file.Control.Founders = g.addresses
-		own, stop := context.WithCancel(ctx)
-		server, err := control.NewServer(own, file, zap.NewNop())
+		serverCtx, stop := context.WithCancel(ctx)
+		server, err := control.NewServer(serverCtx, file, zap.NewNop())
 		if err != nil {
 			stop()
 			return nil, err
 		}
 		g.servers, g.stops = append(g.servers, server), append(g.stops, stop)
-		go runWithRole(roleControl, func() { _ = server.Run(own) }) // ends with ctx
+		go runWithRole(roleControl, func() { _ = server.Run(serverCtx) }) // ends with ctx
 	}
 	g.client = control.NewClient(transport.NewClient(clusterToken, nil), g.addresses)
 	_, err := g.req(electionTimeout, control.Request{Read: &control.Read{}})
