--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -79,8 +79,8 @@
 	return g.client.Ask(ctx, request)
 }
 
-// change makes one edit of the newest version and returns the version it became.
-func (g *group) change(edits ...settings.Edit) (uint64, error) {
+// changeSettings makes one edit of the newest version and returns the version it became.
+func (g *group) changeSettings(edits ...settings.Edit) (uint64, error) {
 	read, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
 	if err != nil {
 		return 0, err
@@ -186,7 +186,7 @@
 	before, started := hollow.counter.total(), time.Now()
 	for i := range changes {
 		begun := time.Now()
-		version, err := g.change(settings.Edit{Path: "/", Setting: "queue_limit", Value: json.RawMessage(fmt.Sprint(100 + i))})
+		version, err := g.changeSettings(settings.Edit{Path: "/", Setting: "queue_limit", Value: json.RawMessage(fmt.Sprint(100 + i))})
 		if err != nil {
 			return err
 		}
--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -195,7 +195,7 @@
 	tree.Nodes["/*"] = settings.Overrides{}
 	tree.Nodes["/*/"+serviceName] = settings.Overrides{Kind: &kind, EngineConcurrency: &limit}
 	tree.Nodes["/*/"+serviceName+"/tenant"] = settings.Overrides{APIKeySHA256: &keys}
-	_, err := g.change(settings.DiffEdits(settings.NewTree(), tree)...)
+	_, err := g.changeSettings(settings.DiffEdits(settings.NewTree(), tree)...)
 	return err
 }
 
