--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -96,8 +96,8 @@
 	return response.Change.Version, nil
 }
 
-// inForce waits until a version is in force everywhere.
-func (g *group) inForce(version uint64) error {
+// waitInForce waits until a version is in force everywhere.
+func (g *group) waitInForce(version uint64) error {
 	for {
 		read, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
 		if err != nil || read.Read.InForce >= version {
@@ -190,7 +190,7 @@
 		if err != nil {
 			return err
 		}
-		if err := g.inForce(version); err != nil {
+		if err := g.waitInForce(version); err != nil {
 			return err
 		}
 		took := time.Since(begun)
