--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -117,7 +117,7 @@
 	prefix  string // of the routers' names
 }
 
-func newHollowRouters(g *group) *hollowRouters {
+func newEmulatedRouters(g *group) *hollowRouters {
 	h := &hollowRouters{group: g, counter: &trafficCounter{}, prefix: "hollow"}
 	h.client = control.NewClient(transport.NewClientWithDialer(clusterToken, h.counter.dial), g.addresses)
 	return h
@@ -162,7 +162,7 @@
 
 // measureNodes measures control against the number of nodes.
 func measureNodes(g *group, report *Report, sizes []int, length time.Duration) (*hollowRouters, error) {
-	hollow := newHollowRouters(g)
+	hollow := newEmulatedRouters(g)
 	var cores, traffic []Point
 	for _, size := range sizes {
 		hollow.grow(size)
@@ -261,7 +261,7 @@
 
 // measureHerd starts many routers at once and measures the time until each serves by the newest settings.
 func measureHerd(g *group, report *Report, count int) {
-	herd := newHollowRouters(g)
+	herd := newEmulatedRouters(g)
 	herd.prefix = "herd"
 	started := time.Now()
 	herd.grow(count)
