--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// hollowRouters are routers that only renew their sessions.
-type hollowRouters struct {
+// emulatedRouters are routers that only renew their sessions.
+type emulatedRouters struct {
 	group   *group
 	client  *control.Client
 	counter *trafficCounter
@@ -117,14 +117,14 @@
 	prefix  string // of the routers' names
 }
 
-func newEmulatedRouters(g *group) *hollowRouters {
-	h := &hollowRouters{group: g, counter: &trafficCounter{}, prefix: "hollow"}
+func newEmulatedRouters(g *group) *emulatedRouters {
+	h := &emulatedRouters{group: g, counter: &trafficCounter{}, prefix: "hollow"}
 	h.client = control.NewClient(transport.NewClientWithDialer(clusterToken, h.counter.dial), g.addresses)
 	return h
 }
 
 // grow adds routers until there are count, and waits until each has a lease.
-func (h *hollowRouters) grow(count int) {
+func (h *emulatedRouters) grow(count int) {
 	for ; h.count < count; h.count++ {
 		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.prefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, routerHeartbeatInterval, guard.Set{})
 		h.leased.Add(1)
@@ -134,7 +134,7 @@
 }
 
 // renew is one hollow router. It takes settings up at once, as if its disk were instant.
-func (h *hollowRouters) renew(machine *session.Machine) {
+func (h *emulatedRouters) renew(machine *session.Machine) {
 	started, first := time.Now(), true
 	for h.group.ctx.Err() == nil {
 		beat := machine.Heartbeat()
@@ -161,7 +161,7 @@
 }
 
 // measureNodes measures control against the number of nodes.
-func measureNodes(g *group, report *Report, sizes []int, length time.Duration) (*hollowRouters, error) {
+func measureNodes(g *group, report *Report, sizes []int, length time.Duration) (*emulatedRouters, error) {
 	hollow := newEmulatedRouters(g)
 	var cores, traffic []Point
 	for _, size := range sizes {
@@ -181,7 +181,7 @@
 }
 
 // measureChanges measures how long a change takes to be in force on all hollow nodes, and what it sends.
-func measureChanges(g *group, hollow *hollowRouters, report *Report, changes int) error {
+func measureChanges(g *group, hollow *emulatedRouters, report *Report, changes int) error {
 	var slowest, total time.Duration
 	before, started := hollow.counter.total(), time.Now()
 	for i := range changes {
