--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -123,8 +123,8 @@
 	return h
 }
 
-// grow adds routers until there are count, and waits until each has a lease.
-func (h *emulatedRouters) grow(count int) {
+// addUntil adds routers until there are count, and waits until each has a lease.
+func (h *emulatedRouters) addUntil(count int) {
 	for ; h.count < count; h.count++ {
 		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.prefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, routerHeartbeatInterval, guard.Set{})
 		h.leased.Add(1)
@@ -165,7 +165,7 @@
 	hollow := newEmulatedRouters(g)
 	var cores, traffic []Point
 	for _, size := range sizes {
-		hollow.grow(size)
+		hollow.addUntil(size)
 		time.Sleep(routerHeartbeatInterval)
 		before := hollow.counter.total()
 		usage, err := measure(length, func() {})
@@ -264,7 +264,7 @@
 	herd := newEmulatedRouters(g)
 	herd.prefix = "herd"
 	started := time.Now()
-	herd.grow(count)
+	herd.addUntil(count)
 	took := time.Since(started)
 	report.figure(roleControl, fmt.Sprintf("herd of %d routers starting at once, until all have a lease at the newest settings", count), "s", took.Seconds())
 	report.figure(roleControl, "bytes of the herd, by router", "bytes", herd.counter.total()/float64(count))
