--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -128,13 +128,13 @@
 	for ; h.count < count; h.count++ {
 		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.prefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, routerHeartbeatInterval, guard.Set{})
 		h.leased.Add(1)
-		go runWithRole(roleEmulated, func() { h.renew(machine) })
+		go runWithRole(roleEmulated, func() { h.runSession(machine) })
 	}
 	h.leased.Wait()
 }
 
-// renew is one hollow router. It takes settings up at once, as if its disk were instant.
-func (h *emulatedRouters) renew(machine *session.Machine) {
+// runSession is one hollow router. It takes settings up at once, as if its disk were instant.
+func (h *emulatedRouters) runSession(machine *session.Machine) {
 	started, first := time.Now(), true
 	for h.group.ctx.Err() == nil {
 		beat := machine.Heartbeat()
