--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -137,9 +137,9 @@
 func (h *emulatedRouters) runSession(machine *session.Machine) {
 	started, first := time.Now(), true
 	for h.group.ctx.Err() == nil {
-		beat := machine.Heartbeat()
+		heartbeat := machine.Heartbeat()
 		ctx, cancel := context.WithTimeout(h.group.ctx, requestTimeout)
-		response, err := h.client.AskOnce(ctx, control.Request{Heartbeat: &beat})
+		response, err := h.client.AskOnce(ctx, control.Request{Heartbeat: &heartbeat})
 		cancel()
 		pause := session.FastHeartbeatInterval
 		if err == nil && response.Heartbeat != nil {
