--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -211,8 +211,8 @@
 
 // measureClaims measures the run ledger: claims a second at three replicas, and the share of the leader's sync.
 func measureClaims(g *group, report *Report, clients int, length time.Duration) error {
-	beat := control.Heartbeat{Router: "claimer", Incarnation: 1, Zone: "z"}
-	opened, err := g.req(requestTimeout, control.Request{Heartbeat: &beat})
+	heartbeat := control.Heartbeat{Router: "claimer", Incarnation: 1, Zone: "z"}
+	opened, err := g.req(requestTimeout, control.Request{Heartbeat: &heartbeat})
 	if err != nil {
 		return err
 	}
