--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -141,10 +141,10 @@
 		ctx, cancel := context.WithTimeout(h.group.ctx, requestTimeout)
 		response, err := h.client.AskOnce(ctx, control.Request{Heartbeat: &heartbeat})
 		cancel()
-		pause := session.FastHeartbeatInterval
+		wait := session.FastHeartbeatInterval
 		if err == nil && response.Heartbeat != nil {
 			step := machine.HandleReply(time.Since(started), *response.Heartbeat)
-			pause = step.NextHeartbeatIn
+			wait = step.NextHeartbeatIn
 			if step.ToSync != nil {
 				machine.MarkSynced(*step.ToSync)
 			}
@@ -153,7 +153,7 @@
 				h.leased.Done()
 			}
 		}
-		time.Sleep(pause)
+		time.Sleep(wait)
 	}
 	if first {
 		h.leased.Done()
