--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -109,16 +109,16 @@
 
 // emulatedRouters are routers that only renew their sessions.
 type emulatedRouters struct {
-	group   *group
-	client  *control.Client
-	counter *trafficCounter
-	leased  sync.WaitGroup
-	count   int
-	prefix  string // of the routers' names
+	group      *group
+	client     *control.Client
+	counter    *trafficCounter
+	leased     sync.WaitGroup
+	count      int
+	namePrefix string // of the routers' names
 }
 
 func newEmulatedRouters(g *group) *emulatedRouters {
-	h := &emulatedRouters{group: g, counter: &trafficCounter{}, prefix: "hollow"}
+	h := &emulatedRouters{group: g, counter: &trafficCounter{}, namePrefix: "hollow"}
 	h.client = control.NewClient(transport.NewClientWithDialer(clusterToken, h.counter.dial), g.addresses)
 	return h
 }
@@ -126,7 +126,7 @@
 // addUntil adds routers until there are count, and waits until each has a lease.
 func (h *emulatedRouters) addUntil(count int) {
 	for ; h.count < count; h.count++ {
-		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.prefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, routerHeartbeatInterval, guard.Set{})
+		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.namePrefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, routerHeartbeatInterval, guard.Set{})
 		h.leased.Add(1)
 		go runWithRole(roleEmulated, func() { h.runSession(machine) })
 	}
@@ -262,7 +262,7 @@
 // measureHerd starts many routers at once and measures the time until each serves by the newest settings.
 func measureHerd(g *group, report *Report, count int) {
 	herd := newEmulatedRouters(g)
-	herd.prefix = "herd"
+	herd.namePrefix = "herd"
 	started := time.Now()
 	herd.addUntil(count)
 	took := time.Since(started)
