--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -109,12 +109,12 @@
 
 // emulatedRouters are routers that only renew their sessions.
 type emulatedRouters struct {
-	group      *group
-	client     *control.Client
-	counter    *trafficCounter
-	leased     sync.WaitGroup
-	count      int
-	namePrefix string // of the routers' names
+	group         *group
+	client        *control.Client
+	counter       *trafficCounter
+	pendingLeases sync.WaitGroup
+	count         int
+	namePrefix    string // of the routers' names
 }
 
 func newEmulatedRouters(g *group) *emulatedRouters {
@@ -127,10 +127,10 @@
 func (h *emulatedRouters) addUntil(count int) {
 	for ; h.count < count; h.count++ {
 		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.namePrefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, routerHeartbeatInterval, guard.Set{})
-		h.leased.Add(1)
+		h.pendingLeases.Add(1)
 		go runWithRole(roleEmulated, func() { h.runSession(machine) })
 	}
-	h.leased.Wait()
+	h.pendingLeases.Wait()
 }
 
 // runSession is one hollow router. It takes settings up at once, as if its disk were instant.
@@ -150,13 +150,13 @@
 			}
 			if response.Heartbeat.Lease > 0 && first {
 				first = false
-				h.leased.Done()
+				h.pendingLeases.Done()
 			}
 		}
 		time.Sleep(wait)
 	}
 	if first {
-		h.leased.Done()
+		h.pendingLeases.Done()
 	}
 }
 
