--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -259,8 +259,8 @@
 	return count, time.Duration(nanoseconds)
 }
 
-// measureHerd starts many routers at once and measures the time until each serves by the newest settings.
-func measureHerd(g *group, report *Report, count int) {
+// measureSimultaneousStart starts many routers at once and measures the time until each serves by the newest settings.
+func measureSimultaneousStart(g *group, report *Report, count int) {
 	herd := newEmulatedRouters(g)
 	herd.namePrefix = "herd"
 	started := time.Now()
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -77,7 +77,7 @@
 	if err := measureChanges(g, hollow, report, 10); err != nil {
 		return err
 	}
-	measureHerd(g, report, herdSize)
+	measureSimultaneousStart(g, report, herdSize)
 	return measureLeaderLoss(g, report)
 }
 
