--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -261,13 +261,13 @@
 
 // measureSimultaneousStart starts many routers at once and measures the time until each serves by the newest settings.
 func measureSimultaneousStart(g *group, report *Report, count int) {
-	herd := newEmulatedRouters(g)
-	herd.namePrefix = "herd"
+	routers := newEmulatedRouters(g)
+	routers.namePrefix = "herd"
 	started := time.Now()
-	herd.addUntil(count)
+	routers.addUntil(count)
 	took := time.Since(started)
 	report.figure(roleControl, fmt.Sprintf("herd of %d routers starting at once, until all have a lease at the newest settings", count), "s", took.Seconds())
-	report.figure(roleControl, "bytes of the herd, by router", "bytes", herd.counter.total()/float64(count))
+	report.figure(roleControl, "bytes of the herd, by router", "bytes", routers.counter.total()/float64(count))
 }
 
 // measureLeaderLoss ends the leading replica and measures the time until the next change is accepted.
