--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -162,22 +162,22 @@
 
 // measureNodes measures control against the number of nodes.
 func measureNodes(g *group, report *Report, sizes []int, length time.Duration) (*emulatedRouters, error) {
-	hollow := newEmulatedRouters(g)
+	routers := newEmulatedRouters(g)
 	var cores, traffic []Point
 	for _, size := range sizes {
-		hollow.addUntil(size)
+		routers.addUntil(size)
 		time.Sleep(routerHeartbeatInterval)
-		before := hollow.counter.total()
+		before := routers.counter.total()
 		usage, err := measure(length, func() {})
 		if err != nil {
 			return nil, err
 		}
 		cores = append(cores, Point{float64(size), usage.Cores[roleControl]})
-		traffic = append(traffic, Point{float64(size), (hollow.counter.total() - before) / usage.Wall.Seconds()})
+		traffic = append(traffic, Point{float64(size), (routers.counter.total() - before) / usage.Wall.Seconds()})
 	}
 	report.add(roleControl, "processor time of all three replicas", "cores", "node", cores)
 	report.add(roleControl, "bytes between nodes and control, both ways", "bytes/s", "node", traffic)
-	return hollow, nil
+	return routers, nil
 }
 
 // measureChanges measures how long a change takes to be in force on all hollow nodes, and what it sends.
