--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -181,9 +181,9 @@
 }
 
 // measureChanges measures how long a change takes to be in force on all hollow nodes, and what it sends.
-func measureChanges(g *group, hollow *emulatedRouters, report *Report, changes int) error {
+func measureChanges(g *group, routers *emulatedRouters, report *Report, changes int) error {
 	var slowest, total time.Duration
-	before, started := hollow.counter.total(), time.Now()
+	before, started := routers.counter.total(), time.Now()
 	for i := range changes {
 		begun := time.Now()
 		version, err := g.changeSettings(settings.Edit{Path: "/", Setting: "queue_limit", Value: json.RawMessage(fmt.Sprint(100 + i))})
@@ -199,13 +199,13 @@
 	idle := 0.0
 	for _, slope := range report.Slopes {
 		if slope.Unit == "bytes/s" && slope.Per == "node" {
-			idle = slope.Intercept + slope.Slope*float64(hollow.count)
+			idle = slope.Intercept + slope.Slope*float64(routers.count)
 		}
 	}
-	sent := hollow.counter.total() - before - idle*time.Since(started).Seconds()
-	report.figure(roleControl, fmt.Sprintf("change until in force on %d nodes, mean", hollow.count), "s", total.Seconds()/float64(changes))
-	report.figure(roleControl, fmt.Sprintf("change until in force on %d nodes, slowest of %d", hollow.count, changes), "s", slowest.Seconds())
-	report.figure(roleControl, "bytes a change sends to a node beyond its heartbeats", "bytes", max(0, sent)/float64(changes)/float64(hollow.count))
+	sent := routers.counter.total() - before - idle*time.Since(started).Seconds()
+	report.figure(roleControl, fmt.Sprintf("change until in force on %d nodes, mean", routers.count), "s", total.Seconds()/float64(changes))
+	report.figure(roleControl, fmt.Sprintf("change until in force on %d nodes, slowest of %d", routers.count, changes), "s", slowest.Seconds())
+	report.figure(roleControl, "bytes a change sends to a node beyond its heartbeats", "bytes", max(0, sent)/float64(changes)/float64(routers.count))
 	return nil
 }
 
