--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -227,14 +227,14 @@
 		workers.Go(func() {
 			runWithRole(roleEmulated, func() {
 				for i := 0; time.Now().Before(until); i++ {
-					begun := time.Now()
+					claimedAt := time.Now()
 					claim := ledger.Claim{Key: ledger.Key{Tenant: "t", Service: "s", Key: fmt.Sprintf("%d-%d", worker, i)}, Digest: 1,
 						ClaimID: fmt.Sprintf("%d-%d", worker, i), Holder: holder, RetentionMS: 86_400_000}
 					response, err := g.req(requestTimeout, control.Request{Claim: &claim})
 					mutex.Lock()
 					if err == nil && response.Claim.Kind == ledger.Granted {
 						granted++
-						spent += time.Since(begun)
+						spent += time.Since(claimedAt)
 					}
 					mutex.Unlock()
 				}
