--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -221,12 +221,12 @@
 	var mutex sync.Mutex
 	var workers sync.WaitGroup
 	syncs, synced := g.syncTotals()
-	until := time.Now().Add(length)
+	deadline := time.Now().Add(length)
 	var spent time.Duration
 	for worker := range clients {
 		workers.Go(func() {
 			runWithRole(roleEmulated, func() {
-				for i := 0; time.Now().Before(until); i++ {
+				for i := 0; time.Now().Before(deadline); i++ {
 					claimedAt := time.Now()
 					claim := ledger.Claim{Key: ledger.Key{Tenant: "t", Service: "s", Key: fmt.Sprintf("%d-%d", worker, i)}, Digest: 1,
 						ClaimID: fmt.Sprintf("%d-%d", worker, i), Holder: holder, RetentionMS: 86_400_000}
