--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -222,7 +222,7 @@
 	var workers sync.WaitGroup
 	syncs, synced := g.syncTotals()
 	deadline := time.Now().Add(length)
-	var spent time.Duration
+	var totalTime time.Duration
 	for worker := range clients {
 		workers.Go(func() {
 			runWithRole(roleEmulated, func() {
@@ -234,7 +234,7 @@
 					mutex.Lock()
 					if err == nil && response.Claim.Kind == ledger.Granted {
 						granted++
-						spent += time.Since(claimedAt)
+						totalTime += time.Since(claimedAt)
 					}
 					mutex.Unlock()
 				}
@@ -244,7 +244,7 @@
 	workers.Wait()
 	after, afterTime := g.syncTotals()
 	report.figure(roleControl, fmt.Sprintf("ledger claims a second, three replicas, %d clients", clients), "1/s", float64(granted)/length.Seconds())
-	report.figure(roleControl, "mean time of a claim", "ms", spent.Seconds()*1000/float64(max(1, granted)))
+	report.figure(roleControl, "mean time of a claim", "ms", totalTime.Seconds()*1000/float64(max(1, granted)))
 	report.figure(roleControl, "mean time of one write and sync", "ms", (afterTime-synced).Seconds()*1000/float64(max(1, after-syncs)))
 	report.figure(roleControl, "claims that share one write and sync", "claims", float64(granted)*replicas/float64(max(1, after-syncs)))
 	return nil
