--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -212,11 +212,11 @@
 // measureClaims measures the run ledger: claims a second at three replicas, and the share of the leader's sync.
 func measureClaims(g *group, report *Report, clients int, length time.Duration) error {
 	heartbeat := control.Heartbeat{Router: "claimer", Incarnation: 1, Zone: "z"}
-	opened, err := g.req(requestTimeout, control.Request{Heartbeat: &heartbeat})
+	session, err := g.req(requestTimeout, control.Request{Heartbeat: &heartbeat})
 	if err != nil {
 		return err
 	}
-	holder := ledger.Holder{Router: "claimer", Epoch: opened.Heartbeat.Epoch}
+	holder := ledger.Holder{Router: "claimer", Epoch: session.Heartbeat.Epoch}
 	var granted int
 	var mutex sync.Mutex
 	var workers sync.WaitGroup
