--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -196,13 +196,13 @@
 		took := time.Since(started)
 		slowest, total = max(slowest, took), total+took
 	}
-	idle := 0.0
+	heartbeatRate := 0.0
 	for _, slope := range report.Slopes {
 		if slope.Unit == "bytes/s" && slope.Per == "node" {
-			idle = slope.Intercept + slope.Slope*float64(routers.count)
+			heartbeatRate = slope.Intercept + slope.Slope*float64(routers.count)
 		}
 	}
-	sent := routers.counter.total() - before - idle*time.Since(started).Seconds()
+	sent := routers.counter.total() - before - heartbeatRate*time.Since(started).Seconds()
 	report.figure(roleControl, fmt.Sprintf("change until in force on %d nodes, mean", routers.count), "s", total.Seconds()/float64(changes))
 	report.figure(roleControl, fmt.Sprintf("change until in force on %d nodes, slowest of %d", routers.count, changes), "s", slowest.Seconds())
 	report.figure(roleControl, "bytes a change sends to a node beyond its heartbeats", "bytes", max(0, sent)/float64(changes)/float64(routers.count))
