--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	herdSize       = 300
-	claimClients   = 64
-	claimTime      = 2 * time.Second // less than a lease: the claiming session is not renewed
-	steadyRequests = 100_000
-	steadyRate     = 900
+	simultaneousRouters = 300
+	claimClients        = 64
+	claimTime           = 2 * time.Second // less than a lease: the claiming session is not renewed
+	steadyRequests      = 100_000
+	steadyRate          = 900
 )
 
 // Run measures every role. A quick run takes less than a minute; a long one takes longer phases and more sizes.
@@ -77,7 +77,7 @@
 	if err := measureChanges(g, hollow, report, 10); err != nil {
 		return err
 	}
-	measureSimultaneousStart(g, report, herdSize)
+	measureSimultaneousStart(g, report, simultaneousRouters)
 	return measureLeaderLoss(g, report)
 }
 
