--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -13,7 +13,7 @@
 const (
 	simultaneousRouters = 300
 	claimClients        = 64
-	claimTime           = 2 * time.Second // less than a lease: the claiming session is not renewed
+	claimDuration       = 2 * time.Second // less than a lease: the claiming session is not renewed
 	steadyRequests      = 100_000
 	steadyRate          = 900
 )
@@ -67,7 +67,7 @@
 	if err := measureDataPath(ctx, g, report, filepath.Join(folder, "path"), length); err != nil {
 		return err
 	}
-	if err := measureClaims(g, report, claimClients, claimTime); err != nil {
+	if err := measureClaims(g, report, claimClients, claimDuration); err != nil {
 		return err
 	}
 	hollow, err := measureNodes(g, report, nodes, length)
