--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -70,11 +70,11 @@
 	if err := measureClaims(g, report, claimClients, claimDuration); err != nil {
 		return err
 	}
-	hollow, err := measureNodes(g, report, nodes, length)
+	routers, err := measureNodes(g, report, nodes, length)
 	if err != nil {
 		return err
 	}
-	if err := measureChanges(g, hollow, report, 10); err != nil {
+	if err := measureChanges(g, routers, report, 10); err != nil {
 		return err
 	}
 	measureSimultaneousStart(g, report, simultaneousRouters)
