--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -21,10 +21,10 @@
 // Run measures every role. A quick run takes less than a minute; a long one takes longer phases and more sizes.
 func Run(ctx context.Context, quick bool) (*Report, error) {
 	report := &Report{Quick: quick, Cores: runtime.NumCPU()}
-	length := 1200 * time.Millisecond
+	phaseDuration := 1200 * time.Millisecond
 	nodes, engines := []int{40, 120, 320}, []int{30, 100, 200}
 	if !quick {
-		length = 10 * time.Second
+		phaseDuration = 10 * time.Second
 		nodes, engines = []int{40, 80, 160, 320}, []int{30, 100, 200, 300}
 	}
 	measureIndex(report, []int{100_000, 400_000, 1_000_000})
@@ -42,7 +42,7 @@
 	defer os.RemoveAll(folder)
 	run, stop := context.WithCancel(ctx)
 	defer stop()
-	return report, measureProcesses(run, report, folder, nodes, engines, length)
+	return report, measureProcesses(run, report, folder, nodes, engines, phaseDuration)
 }
 
 // measureProcesses runs the phases with real control replicas and routers.
