--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -46,7 +46,7 @@
 }
 
 // measureProcesses runs the phases with real control replicas and routers.
-func measureProcesses(ctx context.Context, report *Report, folder string, nodes, engines []int, length time.Duration) error {
+func measureProcesses(ctx context.Context, report *Report, folder string, nodes, engines []int, phaseDuration time.Duration) error {
 	idle, err := startHollowEngines(ctx, 0, 0)
 	if err != nil {
 		return err
@@ -58,19 +58,19 @@
 	if err := plantTree(g); err != nil {
 		return err
 	}
-	if err := measurePolls(ctx, g, report, filepath.Join(folder, "polls"), engines, 0, length); err != nil {
+	if err := measurePolls(ctx, g, report, filepath.Join(folder, "polls"), engines, 0, phaseDuration); err != nil {
 		return err
 	}
-	if err := measurePolls(ctx, g, report, filepath.Join(folder, "changes"), engines, 30, length); err != nil {
+	if err := measurePolls(ctx, g, report, filepath.Join(folder, "changes"), engines, 30, phaseDuration); err != nil {
 		return err
 	}
-	if err := measureDataPath(ctx, g, report, filepath.Join(folder, "path"), length); err != nil {
+	if err := measureDataPath(ctx, g, report, filepath.Join(folder, "path"), phaseDuration); err != nil {
 		return err
 	}
 	if err := measureClaims(g, report, claimClients, claimDuration); err != nil {
 		return err
 	}
-	routers, err := measureNodes(g, report, nodes, length)
+	routers, err := measureNodes(g, report, nodes, phaseDuration)
 	if err != nil {
 		return err
 	}
