--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -81,7 +81,7 @@
 	return measureLeaderLoss(g, report)
 }
 
-func measureDataPath(ctx context.Context, g *group, report *Report, folder string, length time.Duration) error {
+func measureDataPath(ctx context.Context, g *group, report *Report, folder string, phaseDuration time.Duration) error {
 	phase, stop := context.WithCancel(ctx)
 	defer stop()
 	path, err := startDataPath(phase, g, folder)
@@ -94,7 +94,7 @@
 	if err := path.measureGaps(report, 40, time.Second); err != nil {
 		return err
 	}
-	if err := path.measureWork(report, []int{50, 100, 200}, []int{5, 50, 100}, length/2); err != nil {
+	if err := path.measureWork(report, []int{50, 100, 200}, []int{5, 50, 100}, phaseDuration/2); err != nil {
 		return err
 	}
 	if report.Quick {
