--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -12,7 +12,7 @@
 	"kitetiller/internal/settings"
 )
 
-const runOfBlocks = 24 // blocks that one event stores or evicts
+const eventBlocks = 24 // blocks that one event stores or evicts
 
 // chainNumber returns one of many different chains.
 func chainNumber(number, length int) []prefix.Hash {
@@ -30,17 +30,17 @@
 	for _, size := range sizes {
 		before := heapInUse()
 		index := prefix.NewIndex(2 * size)
-		for number := range size / runOfBlocks {
-			index.Add(prefix.EngineID(number%300), chainNumber(number, runOfBlocks), 0, prefix.SourceEvent)
+		for number := range size / eventBlocks {
+			index.Add(prefix.EngineID(number%300), chainNumber(number, eventBlocks), 0, prefix.SourceEvent)
 		}
 		memory = append(memory, Point{float64(index.Len()), heapInUse() - before})
-		runs := size / runOfBlocks / 2
+		runs := size / eventBlocks / 2
 		started := time.Now()
 		for number := range runs {
-			index.Remove(prefix.EngineID(number%300), chainNumber(number, runOfBlocks))
-			index.Add(prefix.EngineID(number%300), chainNumber(number+size, runOfBlocks), time.Second, prefix.SourceEvent)
+			index.Remove(prefix.EngineID(number%300), chainNumber(number, eventBlocks))
+			index.Add(prefix.EngineID(number%300), chainNumber(number+size, eventBlocks), time.Second, prefix.SourceEvent)
 		}
-		change = append(change, Point{float64(index.Len()), time.Since(started).Seconds() * 1e6 / float64(2*runs*runOfBlocks)})
+		change = append(change, Point{float64(index.Len()), time.Since(started).Seconds() * 1e6 / float64(2*runs*eventBlocks)})
 	}
 	report.add("prefix index", "memory", "bytes", "believed block", memory)
 	report.add("prefix index", "processor time of one block change", "us", "believed block", change)
