--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -96,9 +96,9 @@
 	_, _ = fmt.Sscan(r.URL.Query().Get("after"), &after) // missing means from the start
 	runs := uint64(time.Since(h.started).Seconds() * float64(h.blockChanges) / eventBlocks)
 	for sequence := max(after, runs-min(runs, 64)); sequence < runs; sequence++ {
-		event := core.CacheEvent{Sequence: sequence, Stored: chainNumber(number*1_000_000+int(sequence), eventBlocks)}
+		event := core.CacheEvent{Sequence: sequence, Stored: makeChain(number*1_000_000+int(sequence), eventBlocks)}
 		if sequence > 50 {
-			event.Evicted = chainNumber(number*1_000_000+int(sequence-50), eventBlocks)
+			event.Evicted = makeChain(number*1_000_000+int(sequence-50), eventBlocks)
 		}
 		report.Events = append(report.Events, event)
 	}
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -14,8 +14,8 @@
 
 const eventBlocks = 24 // blocks that one event stores or evicts
 
-// chainNumber returns one of many different chains.
-func chainNumber(number, length int) []prefix.Hash {
+// makeChain returns one of many different chains.
+func makeChain(number, length int) []prefix.Hash {
 	chain := make([]prefix.Hash, length)
 	for i := range chain {
 		binary.LittleEndian.PutUint64(chain[i][:], uint64(number)*0x9e3779b97f4a7c15+1)
@@ -31,14 +31,14 @@
 		before := heapInUse()
 		index := prefix.NewIndex(2 * size)
 		for number := range size / eventBlocks {
-			index.Add(prefix.EngineID(number%300), chainNumber(number, eventBlocks), 0, prefix.SourceEvent)
+			index.Add(prefix.EngineID(number%300), makeChain(number, eventBlocks), 0, prefix.SourceEvent)
 		}
 		memory = append(memory, Point{float64(index.Len()), heapInUse() - before})
 		runs := size / eventBlocks / 2
 		started := time.Now()
 		for number := range runs {
-			index.Remove(prefix.EngineID(number%300), chainNumber(number, eventBlocks))
-			index.Add(prefix.EngineID(number%300), chainNumber(number+size, eventBlocks), time.Second, prefix.SourceEvent)
+			index.Remove(prefix.EngineID(number%300), makeChain(number, eventBlocks))
+			index.Add(prefix.EngineID(number%300), makeChain(number+size, eventBlocks), time.Second, prefix.SourceEvent)
 		}
 		change = append(change, Point{float64(index.Len()), time.Since(started).Seconds() * 1e6 / float64(2*runs*eventBlocks)})
 	}
@@ -148,7 +148,7 @@
 	var spent time.Duration
 	for i := range rounds {
 		request := core.Request{ID: core.RequestID(i + 1), Tenant: "t", Service: "s", PromptTokens: 60 * 64, MaxTokens: 8,
-			Chains: []core.Chain{{Weights: "w", Blocks: chainNumber(i%500, 60)}}}
+			Chains: []core.Chain{{Weights: "w", Blocks: makeChain(i%500, 60)}}}
 		started := time.Now()
 		c.Tick(time.Duration(i)*20*time.Microsecond, []core.Event{core.EventRequest{Request: request}})
 		spent += time.Since(started)
