--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -52,15 +52,15 @@
 	var memory, snapshot []Point
 	for _, size := range sizes {
 		before := heapInUse()
-		book := ledger.New()
+		runLedger := ledger.New()
 		for i := range size {
 			key := ledger.Key{Tenant: "rwanda-university", Service: "app-service", Key: fmt.Sprintf("transcript-%08d", i)}
 			id := fmt.Sprintf("router-1-%d-%d", 7, i)
-			book.Claim(ledger.Claim{Key: key, Digest: uint64(i), ClaimID: id, Holder: ledger.Holder{Router: "router-1", Epoch: 7}, RetentionMS: 86_400_000}, 0, true)
-			book.End(ledger.End{Key: key, ClaimID: id, Kind: ledger.EndFinished, Response: &ledger.Response{Status: 200, ContentType: "application/json", Body: []byte(`{"confirmed":"54a9b2526a9cd9a1"}`)}}, 0)
+			runLedger.Claim(ledger.Claim{Key: key, Digest: uint64(i), ClaimID: id, Holder: ledger.Holder{Router: "router-1", Epoch: 7}, RetentionMS: 86_400_000}, 0, true)
+			runLedger.End(ledger.End{Key: key, ClaimID: id, Kind: ledger.EndFinished, Response: &ledger.Response{Status: 200, ContentType: "application/json", Body: []byte(`{"confirmed":"54a9b2526a9cd9a1"}`)}}, 0)
 		}
 		memory = append(memory, Point{float64(size), heapInUse() - before})
-		data, err := json.Marshal(book)
+		data, err := json.Marshal(runLedger)
 		if err != nil {
 			return err
 		}
