--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// tenantTree makes a tree with tenants under services.
-func tenantTree(tenants, services int) settings.Tree {
+// makeSettingsTree makes a tree with tenants under services.
+func makeSettingsTree(tenants, services int) settings.Tree {
 	tree := settings.NewTree()
 	for s := range services {
 		service := settings.Path(fmt.Sprintf("/*/model-%d", s))
@@ -93,7 +93,7 @@
 	var tree settings.Tree
 	for _, size := range sizes {
 		before := heapInUse()
-		tree = tenantTree(size, services)
+		tree = makeSettingsTree(size, services)
 		memory = append(memory, Point{float64(size), heapInUse() - before})
 		data, err := json.Marshal(tree)
 		if err != nil {
