--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -89,7 +89,7 @@
 
 // measureTree measures the tree: memory and size of a snapshot by tenant, and the time to resolve a place.
 func measureTree(report *Report, sizes []int, services int) error {
-	var memory, wire []Point
+	var memory, encoded []Point
 	var tree settings.Tree
 	for _, size := range sizes {
 		before := heapInUse()
@@ -99,10 +99,10 @@
 		if err != nil {
 			return err
 		}
-		wire = append(wire, Point{float64(size), float64(len(data))})
+		encoded = append(encoded, Point{float64(size), float64(len(data))})
 	}
 	report.add("settings tree", "memory", "bytes", "tenant", memory)
-	report.add("settings tree", "whole tree on the wire", "bytes", "tenant", wire)
+	report.add("settings tree", "whole tree on the wire", "bytes", "tenant", encoded)
 	const rounds = 2000
 	started := time.Now()
 	for i := range rounds {
