--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -145,14 +145,14 @@
 	for i := range engines {
 		c.Tick(0, []core.Event{core.EventBackendPoll{Name: fmt.Sprint(i), Report: &core.BackendReport{Incarnation: 1, Weights: "w", Load: core.Load{PrefillRate: 8000}}}})
 	}
-	var spent time.Duration
+	var total time.Duration
 	for i := range rounds {
 		request := core.Request{ID: core.RequestID(i + 1), Tenant: "t", Service: "s", PromptTokens: 60 * 64, MaxTokens: 8,
 			Chains: []core.Chain{{Weights: "w", Blocks: makeChain(i%500, 60)}}}
 		started := time.Now()
 		c.Tick(time.Duration(i)*20*time.Microsecond, []core.Event{core.EventRequest{Request: request}})
-		spent += time.Since(started)
+		total += time.Since(started)
 		c.Tick(time.Duration(i)*20*time.Microsecond, []core.Event{core.EventCallerGone{ID: request.ID}})
 	}
-	return spent.Seconds() * 1e6 / float64(rounds)
+	return total.Seconds() * 1e6 / float64(rounds)
 }
