--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -34,13 +34,13 @@
 			index.Add(prefix.EngineID(number%300), makeChain(number, eventBlocks), 0, prefix.SourceEvent)
 		}
 		memory = append(memory, Point{float64(index.Len()), heapInUse() - before})
-		runs := size / eventBlocks / 2
+		changes := size / eventBlocks / 2
 		started := time.Now()
-		for number := range runs {
+		for number := range changes {
 			index.Remove(prefix.EngineID(number%300), makeChain(number, eventBlocks))
 			index.Add(prefix.EngineID(number%300), makeChain(number+size, eventBlocks), time.Second, prefix.SourceEvent)
 		}
-		change = append(change, Point{float64(index.Len()), time.Since(started).Seconds() * 1e6 / float64(2*runs*eventBlocks)})
+		change = append(change, Point{float64(index.Len()), time.Since(started).Seconds() * 1e6 / float64(2*changes*eventBlocks)})
 	}
 	report.add("prefix index", "memory", "bytes", "believed block", memory)
 	report.add("prefix index", "processor time of one block change", "us", "believed block", change)
