--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -31,7 +31,7 @@
 }
 
 func startDataPath(ctx context.Context, g *group, folder string) (*dataPath, error) {
-	engines, err := startHollowEngines(ctx, pathEngines, 0)
+	engines, err := startEmulatedEngines(ctx, pathEngines, 0)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -42,8 +42,8 @@
 	platform     string
 }
 
-// startHollowEngines opens listeners for engines and the machine list.
-func startHollowEngines(ctx context.Context, count, blockChanges int) (*hollowEngines, error) {
+// startEmulatedEngines opens listeners for engines and the machine list.
+func startEmulatedEngines(ctx context.Context, count, blockChanges int) (*hollowEngines, error) {
 	h := &hollowEngines{started: time.Now(), blockChanges: blockChanges}
 	for i := range count {
 		address, err := h.serve(ctx, i)
@@ -220,7 +220,7 @@
 }
 
 func pollPhase(ctx context.Context, g *group, folder string, size, blockChanges int, length time.Duration) (Usage, float64, error) {
-	engines, err := startHollowEngines(ctx, size, blockChanges)
+	engines, err := startEmulatedEngines(ctx, size, blockChanges)
 	if err != nil {
 		return Usage{}, 0, err
 	}
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -47,7 +47,7 @@
 
 // measureProcesses runs the phases with real control replicas and routers.
 func measureProcesses(ctx context.Context, report *Report, folder string, nodes, engines []int, phaseDuration time.Duration) error {
-	idle, err := startHollowEngines(ctx, 0, 0)
+	idle, err := startEmulatedEngines(ctx, 0, 0)
 	if err != nil {
 		return err
 	}
