--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -24,7 +24,7 @@
 
 // dataPath is a real router in front of hollow engines, with callers beside it.
 type dataPath struct {
-	engines *hollowEngines
+	engines *emulatedEngines
 	router  string
 	client  *http.Client
 	prompt  string
--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -31,8 +31,8 @@
 	readyLimit  = 20 * time.Second
 )
 
-// hollowEngines answer polls and attempts without any model behind them.
-type hollowEngines struct {
+// emulatedEngines answer polls and attempts without any model behind them.
+type emulatedEngines struct {
 	counter  trafficCounter
 	machines []core.Machine
 	started  time.Time
@@ -43,8 +43,8 @@
 }
 
 // startEmulatedEngines opens listeners for engines and the machine list.
-func startEmulatedEngines(ctx context.Context, count, blockChanges int) (*hollowEngines, error) {
-	h := &hollowEngines{started: time.Now(), blockChanges: blockChanges}
+func startEmulatedEngines(ctx context.Context, count, blockChanges int) (*emulatedEngines, error) {
+	h := &emulatedEngines{started: time.Now(), blockChanges: blockChanges}
 	for i := range count {
 		address, err := h.serve(ctx, i)
 		if err != nil {
@@ -75,7 +75,7 @@
 	_ = json.NewEncoder(w).Encode(value) // the connection may be gone
 }
 
-func (h *hollowEngines) serve(ctx context.Context, number int) (string, error) {
+func (h *emulatedEngines) serve(ctx context.Context, number int) (string, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathState, func(w http.ResponseWriter, r *http.Request) { writeJSON(w, h.state(number, r)) })
 	mux.HandleFunc("GET "+api.PathCache, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, api.CacheReply{Incarnation: 1}) })
@@ -90,7 +90,7 @@
 }
 
 // state reports the events since the caller's sequence: runs of blocks stored and, later, evicted.
-func (h *hollowEngines) state(number int, r *http.Request) api.StateReply {
+func (h *emulatedEngines) state(number int, r *http.Request) api.StateReply {
 	report := core.BackendReport{Incarnation: 1, Weights: "w1", Load: core.Load{PrefillRate: 8000, EvictionAge: 20 * time.Second}}
 	var after uint64
 	_, _ = fmt.Sscan(r.URL.Query().Get("after"), &after) // missing means from the start
@@ -107,7 +107,7 @@
 }
 
 // generate streams the wanted number of tokens.
-func (h *hollowEngines) generate(w http.ResponseWriter, r *http.Request) {
+func (h *emulatedEngines) generate(w http.ResponseWriter, r *http.Request) {
 	var request api.GenerateRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil {
 		http.Error(w, "bad request", http.StatusBadRequest)
