--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -36,15 +36,15 @@
 	counter  trafficCounter
 	machines []core.Machine
 	started  time.Time
-	// blockChanges is how many blocks an engine reports as stored, and as many as evicted, each second.
-	blockChanges int
-	tokenEvery   time.Duration
-	platform     string
+	// blockChangesPerSecond is how many blocks an engine reports as stored, and as many as evicted, each second.
+	blockChangesPerSecond int
+	tokenEvery            time.Duration
+	platform              string
 }
 
 // startEmulatedEngines opens listeners for engines and the machine list.
 func startEmulatedEngines(ctx context.Context, count, blockChanges int) (*emulatedEngines, error) {
-	h := &emulatedEngines{started: time.Now(), blockChanges: blockChanges}
+	h := &emulatedEngines{started: time.Now(), blockChangesPerSecond: blockChanges}
 	for i := range count {
 		address, err := h.serve(ctx, i)
 		if err != nil {
@@ -94,7 +94,7 @@
 	report := core.BackendReport{Incarnation: 1, Weights: "w1", Load: core.Load{PrefillRate: 8000, EvictionAge: 20 * time.Second}}
 	var after uint64
 	_, _ = fmt.Sscan(r.URL.Query().Get("after"), &after) // missing means from the start
-	runs := uint64(time.Since(h.started).Seconds() * float64(h.blockChanges) / eventBlocks)
+	runs := uint64(time.Since(h.started).Seconds() * float64(h.blockChangesPerSecond) / eventBlocks)
 	for sequence := max(after, runs-min(runs, 64)); sequence < runs; sequence++ {
 		event := core.CacheEvent{Sequence: sequence, Stored: makeChain(number*1_000_000+int(sequence), eventBlocks)}
 		if sequence > 50 {
