--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -85,8 +85,8 @@
 
 // measureGaps measures the time between tokens through the router, of engines that give one every tokenGap.
 func (p *dataPath) measureGaps(report *Report, rate int, length time.Duration) error {
-	p.engines.tokenEvery = tokenGap
-	defer func() { p.engines.tokenEvery = 0 }()
+	p.engines.tokenInterval = tokenGap
+	defer func() { p.engines.tokenInterval = 0 }()
 	var mutex sync.Mutex
 	var gaps []time.Duration
 	headers := map[string]string{"Authorization": "Bearer " + apiKey}
@@ -148,7 +148,7 @@
 	tokens := int((opening + 2*after) / every) // the first stream is open until the last one is
 	var points []Point
 	for _, size := range sizes {
-		p.engines.tokenEvery = every
+		p.engines.tokenInterval = every
 		before := heapInUse()
 		done := make(chan int, 1)
 		go func() {
@@ -161,7 +161,7 @@
 			return eris.Errorf("%d of %d streams failed", failed, size)
 		}
 	}
-	p.engines.tokenEvery = 0
+	p.engines.tokenInterval = 0
 	report.add(roleRouter, "heap of open streams, their callers and engines included", "bytes", "stream", points)
 	return nil
 }
--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -38,7 +38,7 @@
 	started  time.Time
 	// blockChangesPerSecond is how many blocks an engine reports as stored, and as many as evicted, each second.
 	blockChangesPerSecond int
-	tokenEvery            time.Duration
+	tokenInterval         time.Duration
 	platform              string
 }
 
@@ -123,7 +123,7 @@
 	write(api.GenerateEvent{Kind: api.GenerateStarted, Incarnation: 1})
 	for index := request.ResumeFrom; index < request.MaxTokens && r.Context().Err() == nil; index++ {
 		write(api.GenerateEvent{Kind: api.GenerateToken, Index: index, Text: "word "})
-		time.Sleep(h.tokenEvery)
+		time.Sleep(h.tokenInterval)
 	}
 	write(api.GenerateEvent{Kind: api.GenerateDone, Index: request.MaxTokens})
 }
