--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	serviceName = "model"
-	apiKey      = "scale-key"
-	readyLimit  = 20 * time.Second
+	serviceName  = "model"
+	apiKey       = "scale-key"
+	readyTimeout = 20 * time.Second
 )
 
 // emulatedEngines answer polls and attempts without any model behind them.
@@ -142,14 +142,14 @@
 		return "", err
 	}
 	go runWithRole(roleRouter, func() { _ = server.Run(ctx) }) // ends with ctx
-	deadline := time.Now().Add(readyLimit)
+	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		if ready(listen, backends) {
 			return listen, nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return "", eris.Errorf("the router was not ready within %v", readyLimit)
+	return "", eris.Errorf("the router was not ready within %v", readyTimeout)
 }
 
 // ready reports whether a router serves and knows every back end.
