--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -144,7 +144,7 @@
 	go runWithRole(roleRouter, func() { _ = server.Run(ctx) }) // ends with ctx
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
-		if ready(listen, backends) {
+		if isReady(listen, backends) {
 			return listen, nil
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -152,8 +152,8 @@
 	return "", eris.Errorf("the router was not ready within %v", readyTimeout)
 }
 
-// ready reports whether a router serves and knows every back end.
-func ready(address string, backends int) bool {
+// isReady reports whether a router serves and knows every back end.
+func isReady(address string, backends int) bool {
 	response, err := http.Get("http://" + address + "/readyz")
 	if err != nil {
 		return false
