--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -178,13 +178,13 @@
 	if json.NewDecoder(response.Body).Decode(&status) != nil {
 		return false
 	}
-	up := 0
+	readyBackends := 0
 	for _, backend := range status.Backends {
 		if backend.State == core.BackendReady.String() {
-			up++
+			readyBackends++
 		}
 	}
-	return up >= backends
+	return readyBackends >= backends
 }
 
 // plantTree gives the group a tree in which one tenant may call the hollow service.
