--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -94,15 +94,15 @@
 	report := core.BackendReport{Incarnation: 1, Weights: "w1", Load: core.Load{PrefillRate: 8000, EvictionAge: 20 * time.Second}}
 	var after uint64
 	_, _ = fmt.Sscan(r.URL.Query().Get("after"), &after) // missing means from the start
-	runs := uint64(time.Since(h.started).Seconds() * float64(h.blockChangesPerSecond) / eventBlocks)
-	for sequence := max(after, runs-min(runs, 64)); sequence < runs; sequence++ {
+	newest := uint64(time.Since(h.started).Seconds() * float64(h.blockChangesPerSecond) / eventBlocks)
+	for sequence := max(after, newest-min(newest, 64)); sequence < newest; sequence++ {
 		event := core.CacheEvent{Sequence: sequence, Stored: makeChain(number*1_000_000+int(sequence), eventBlocks)}
 		if sequence > 50 {
 			event.Evicted = makeChain(number*1_000_000+int(sequence-50), eventBlocks)
 		}
 		report.Events = append(report.Events, event)
 	}
-	report.NextSequence = runs
+	report.NextSequence = newest
 	return api.StateReply{Report: report}
 }
 
