--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -187,8 +187,8 @@
 	return readyBackends >= backends
 }
 
-// plantTree gives the group a tree in which one tenant may call the hollow service.
-func plantTree(g *group) error {
+// applySettings gives the group a tree in which one tenant may call the hollow service.
+func applySettings(g *group) error {
 	digest := sha256.Sum256([]byte(apiKey))
 	kind, keys, limit := "llm", []string{hex.EncodeToString(digest[:])}, 10_000
 	tree := settings.NewTree()
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	if err := plantTree(g); err != nil {
+	if err := applySettings(g); err != nil {
 		return err
 	}
 	if err := measurePolls(ctx, g, report, filepath.Join(folder, "polls"), engines, 0, phaseDuration); err != nil {
