--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -213,9 +213,9 @@
 		traffic = append(traffic, Point{float64(size), sent / usage.Wall.Seconds()})
 		time.Sleep(200 * time.Millisecond)
 	}
-	what := fmt.Sprintf("polling 10 times a second, %d blocks stored and evicted a second on each", blockChanges)
-	report.add(roleRouter, "processor time, "+what, "cores", "engine", cores)
-	report.add(roleRouter, "bytes, "+what, "bytes/s", "engine", traffic)
+	conditions := fmt.Sprintf("polling 10 times a second, %d blocks stored and evicted a second on each", blockChanges)
+	report.add(roleRouter, "processor time, "+conditions, "cores", "engine", cores)
+	report.add(roleRouter, "bytes, "+conditions, "bytes/s", "engine", traffic)
 	return nil
 }
 
