--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -200,11 +200,11 @@
 }
 
 // measurePolls measures a router against the number of engines it polls and the blocks they change.
-func measurePolls(ctx context.Context, g *group, report *Report, folder string, sizes []int, blockChanges int, length time.Duration) error {
+func measurePolls(ctx context.Context, g *group, report *Report, folder string, sizes []int, blockChanges int, duration time.Duration) error {
 	var cores, traffic []Point
 	for _, size := range sizes {
 		phase, stop := context.WithCancel(ctx)
-		usage, sent, err := pollPhase(phase, g, filepath.Join(folder, fmt.Sprint(size, "-", blockChanges)), size, blockChanges, length)
+		usage, sent, err := pollPhase(phase, g, filepath.Join(folder, fmt.Sprint(size, "-", blockChanges)), size, blockChanges, duration)
 		stop()
 		if err != nil {
 			return err
