--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -219,7 +219,7 @@
 	return nil
 }
 
-func pollPhase(ctx context.Context, g *group, folder string, size, blockChanges int, length time.Duration) (Usage, float64, error) {
+func pollPhase(ctx context.Context, g *group, folder string, size, blockChanges int, duration time.Duration) (Usage, float64, error) {
 	engines, err := startEmulatedEngines(ctx, size, blockChanges)
 	if err != nil {
 		return Usage{}, 0, err
@@ -228,7 +228,7 @@
 		return Usage{}, 0, err
 	}
 	before := engines.counter.total()
-	usage, err := measure(length, func() {})
+	usage, err := measure(duration, func() {})
 	return usage, engines.counter.total() - before, err
 }
 
