--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -271,13 +271,13 @@
 }
 
 // drive sends requests at a rate for a time and returns the times to first token, sorted.
-func drive(rate int, length time.Duration, one func(number int) (time.Duration, error)) ([]time.Duration, int) {
+func drive(rate int, duration time.Duration, one func(number int) (time.Duration, error)) ([]time.Duration, int) {
 	var mutex sync.Mutex
 	var times []time.Duration
 	failures := 0
 	var requests sync.WaitGroup
 	started := time.Now()
-	for number := range int(length.Seconds() * float64(rate)) {
+	for number := range int(duration.Seconds() * float64(rate)) {
 		time.Sleep(time.Until(started.Add(time.Duration(number) * time.Second / time.Duration(rate))))
 		requests.Go(func() {
 			runWithRole(roleEmulated, func() {
