--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -63,12 +63,12 @@
 // measureLatency compares the time to first token with and without the router, in turns of one run.
 func (p *dataPath) measureLatency(report *Report, turns int, turn time.Duration) error {
 	const tokens = 5
-	drive(pairedRate, turn/2, p.routed(tokens)) // connections are made before the first figure
-	drive(pairedRate, turn/2, p.direct(tokens))
+	sendAtRate(pairedRate, turn/2, p.routed(tokens)) // connections are made before the first figure
+	sendAtRate(pairedRate, turn/2, p.direct(tokens))
 	var medians, tails, directMedians, directTails float64
 	for range turns {
-		direct, failed := drive(pairedRate, turn, p.direct(tokens))
-		routed, refused := drive(pairedRate, turn, p.routed(tokens))
+		direct, failed := sendAtRate(pairedRate, turn, p.direct(tokens))
+		routed, refused := sendAtRate(pairedRate, turn, p.routed(tokens))
 		if failed+refused > 0 {
 			return eris.Errorf("%d direct and %d routed requests failed", failed, refused)
 		}
@@ -90,7 +90,7 @@
 	var mutex sync.Mutex
 	var gaps []time.Duration
 	headers := map[string]string{"Authorization": "Bearer " + apiKey}
-	_, failed := drive(rate, length, func(number int) (time.Duration, error) {
+	_, failed := sendAtRate(rate, length, func(number int) (time.Duration, error) {
 		body := api.CompletionRequest{Model: serviceName, Prompt: fmt.Sprint(number, p.prompt), MaxTokens: 40, Stream: true}
 		var last time.Time
 		return stream(p.client, p.router, "/v1/completions", body, headers, func() {
@@ -117,7 +117,7 @@
 	var byRate, byTokens []Point
 	phase := func(rate, count int) (float64, error) {
 		failed := 0
-		usage, err := measure(length, func() { _, failed = drive(rate, length, p.routed(count)) })
+		usage, err := measure(length, func() { _, failed = sendAtRate(rate, length, p.routed(count)) })
 		if err == nil && failed > 0 {
 			err = eris.Errorf("%d requests failed at %d a second", failed, rate)
 		}
@@ -152,7 +152,7 @@
 		before := heapInUse()
 		done := make(chan int, 1)
 		go func() {
-			_, failed := drive(int(float64(size)/opening.Seconds()), opening, p.routed(tokens))
+			_, failed := sendAtRate(int(float64(size)/opening.Seconds()), opening, p.routed(tokens))
 			done <- failed
 		}()
 		time.Sleep(opening + after)
@@ -169,11 +169,11 @@
 // measureSteady sends many requests and compares the heap after a tenth of them with the heap after all.
 func (p *dataPath) measureSteady(report *Report, rate, count int) error {
 	part := time.Duration(count/10) * time.Second / time.Duration(rate)
-	if _, failed := drive(rate, part, p.routed(2)); failed > 0 {
+	if _, failed := sendAtRate(rate, part, p.routed(2)); failed > 0 {
 		return eris.Errorf("%d requests failed", failed)
 	}
 	early := heapInUse()
-	if _, failed := drive(rate, 9*part, p.routed(2)); failed > 0 {
+	if _, failed := sendAtRate(rate, 9*part, p.routed(2)); failed > 0 {
 		return eris.Errorf("%d requests failed", failed)
 	}
 	late := heapInUse()
--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -270,8 +270,8 @@
 	return first, scanner.Err()
 }
 
-// drive sends requests at a rate for a time and returns the times to first token, sorted.
-func drive(rate int, duration time.Duration, one func(number int) (time.Duration, error)) ([]time.Duration, int) {
+// sendAtRate sends requests at a rate for a time and returns the times to first token, sorted.
+func sendAtRate(rate int, duration time.Duration, one func(number int) (time.Duration, error)) ([]time.Duration, int) {
 	var mutex sync.Mutex
 	var times []time.Duration
 	failures := 0
