--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -271,7 +271,7 @@
 }
 
 // sendAtRate sends requests at a rate for a time and returns the times to first token, sorted.
-func sendAtRate(rate int, duration time.Duration, one func(number int) (time.Duration, error)) ([]time.Duration, int) {
+func sendAtRate(rate int, duration time.Duration, send func(number int) (time.Duration, error)) ([]time.Duration, int) {
 	var mutex sync.Mutex
 	var times []time.Duration
 	failures := 0
@@ -281,7 +281,7 @@
 		time.Sleep(time.Until(started.Add(time.Duration(number) * time.Second / time.Duration(rate))))
 		requests.Go(func() {
 			runWithRole(roleEmulated, func() {
-				took, err := one(number)
+				took, err := send(number)
 				mutex.Lock()
 				defer mutex.Unlock()
 				if err != nil {
