--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -297,9 +297,9 @@
 	return times, failures
 }
 
-func quantile(times []time.Duration, share float64) float64 {
+func quantile(times []time.Duration, q float64) float64 {
 	if len(times) == 0 {
 		return 0
 	}
-	return times[min(len(times)-1, int(share*float64(len(times))))].Seconds() * 1000
+	return times[min(len(times)-1, int(q*float64(len(times))))].Seconds() * 1000
 }
