--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -17,7 +17,7 @@
 const (
 	pathEngines   = 20
 	promptTokens  = 2000
-	pairedRate    = 100
+	latencyRate   = 100
 	tokenGap      = 20 * time.Millisecond
 	directAttempt = 1 << 40 // attempt ids of direct calls do not meet the router's
 )
@@ -63,12 +63,12 @@
 // measureLatency compares the time to first token with and without the router, in turns of one run.
 func (p *dataPath) measureLatency(report *Report, turns int, turn time.Duration) error {
 	const tokens = 5
-	sendAtRate(pairedRate, turn/2, p.routed(tokens)) // connections are made before the first figure
-	sendAtRate(pairedRate, turn/2, p.direct(tokens))
+	sendAtRate(latencyRate, turn/2, p.routed(tokens)) // connections are made before the first figure
+	sendAtRate(latencyRate, turn/2, p.direct(tokens))
 	var medians, tails, directMedians, directTails float64
 	for range turns {
-		direct, failed := sendAtRate(pairedRate, turn, p.direct(tokens))
-		routed, refused := sendAtRate(pairedRate, turn, p.routed(tokens))
+		direct, failed := sendAtRate(latencyRate, turn, p.direct(tokens))
+		routed, refused := sendAtRate(latencyRate, turn, p.routed(tokens))
 		if failed+refused > 0 {
 			return eris.Errorf("%d direct and %d routed requests failed", failed, refused)
 		}
