--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	pathEngines   = 20
-	promptTokens  = 2000
-	latencyRate   = 100
-	tokenGap      = 20 * time.Millisecond
-	directAttempt = 1 << 40 // attempt ids of direct calls do not meet the router's
+	pathEngines         = 20
+	promptTokens        = 2000
+	latencyRate         = 100
+	engineTokenInterval = 20 * time.Millisecond
+	directAttempt       = 1 << 40 // attempt ids of direct calls do not meet the router's
 )
 
 // dataPath is a real router in front of hollow engines, with callers beside it.
@@ -85,7 +85,7 @@
 
 // measureGaps measures the time between tokens through the router, of engines that give one every tokenGap.
 func (p *dataPath) measureGaps(report *Report, rate int, length time.Duration) error {
-	p.engines.tokenInterval = tokenGap
+	p.engines.tokenInterval = engineTokenInterval
 	defer func() { p.engines.tokenInterval = 0 }()
 	var mutex sync.Mutex
 	var gaps []time.Duration
@@ -107,7 +107,7 @@
 		return eris.Errorf("%d streams failed", failed)
 	}
 	slices.Sort(gaps)
-	report.figure(roleRouter, fmt.Sprintf("between tokens through the router, engines give one every %v, median", tokenGap), "ms", quantile(gaps, 0.5))
+	report.figure(roleRouter, fmt.Sprintf("between tokens through the router, engines give one every %v, median", engineTokenInterval), "ms", quantile(gaps, 0.5))
 	report.figure(roleRouter, "between tokens through the router, p95", "ms", quantile(gaps, 0.95))
 	return nil
 }
