--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -19,7 +19,7 @@
 	promptTokens        = 2000
 	latencyRate         = 100
 	engineTokenInterval = 20 * time.Millisecond
-	directAttempt       = 1 << 40 // attempt ids of direct calls do not meet the router's
+	directAttemptID     = 1 << 40 // attempt ids of direct calls do not meet the router's
 )
 
 // dataPath is a real router in front of hollow engines, with callers beside it.
@@ -55,7 +55,7 @@
 // direct sends the same prompt to an engine.
 func (p *dataPath) direct(tokens int) func(int) (time.Duration, error) {
 	return func(number int) (time.Duration, error) {
-		body := api.GenerateRequest{Attempt: directAttempt, Prompt: fmt.Sprint(number%50, p.prompt), MaxTokens: tokens, PromptTokens: promptTokens}
+		body := api.GenerateRequest{Attempt: directAttemptID, Prompt: fmt.Sprint(number%50, p.prompt), MaxTokens: tokens, PromptTokens: promptTokens}
 		return stream(p.client, p.engines.machines[number%pathEngines].Address, api.PathGenerate, body, nil, nil)
 	}
 }
