--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -68,9 +68,9 @@
 	var medians, tails, directMedians, directTails float64
 	for range turns {
 		direct, failed := sendAtRate(latencyRate, turn, p.direct(tokens))
-		routed, refused := sendAtRate(latencyRate, turn, p.routed(tokens))
-		if failed+refused > 0 {
-			return eris.Errorf("%d direct and %d routed requests failed", failed, refused)
+		routed, routedFailed := sendAtRate(latencyRate, turn, p.routed(tokens))
+		if failed+routedFailed > 0 {
+			return eris.Errorf("%d direct and %d routed requests failed", failed, routedFailed)
 		}
 		directMedians, directTails = directMedians+quantile(direct, 0.5), directTails+quantile(direct, 0.99)
 		medians, tails = medians+quantile(routed, 0.5), tails+quantile(routed, 0.99)
