--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -67,10 +67,10 @@
 	sendAtRate(latencyRate, turn/2, p.direct(tokens))
 	var medians, tails, directMedians, directTails float64
 	for range turns {
-		direct, failed := sendAtRate(latencyRate, turn, p.direct(tokens))
+		direct, directFailed := sendAtRate(latencyRate, turn, p.direct(tokens))
 		routed, routedFailed := sendAtRate(latencyRate, turn, p.routed(tokens))
-		if failed+routedFailed > 0 {
-			return eris.Errorf("%d direct and %d routed requests failed", failed, routedFailed)
+		if directFailed+routedFailed > 0 {
+			return eris.Errorf("%d direct and %d routed requests failed", directFailed, routedFailed)
 		}
 		directMedians, directTails = directMedians+quantile(direct, 0.5), directTails+quantile(direct, 0.99)
 		medians, tails = medians+quantile(routed, 0.5), tails+quantile(routed, 0.99)
