--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -61,12 +61,12 @@
 }
 
 // measureLatency compares the time to first token with and without the router, in turns of one run.
-func (p *dataPath) measureLatency(report *Report, turns int, turn time.Duration) error {
+func (p *dataPath) measureLatency(report *Report, rounds int, turn time.Duration) error {
 	const tokens = 5
 	sendAtRate(latencyRate, turn/2, p.routed(tokens)) // connections are made before the first figure
 	sendAtRate(latencyRate, turn/2, p.direct(tokens))
 	var medians, tails, directMedians, directTails float64
-	for range turns {
+	for range rounds {
 		direct, directFailed := sendAtRate(latencyRate, turn, p.direct(tokens))
 		routed, routedFailed := sendAtRate(latencyRate, turn, p.routed(tokens))
 		if directFailed+routedFailed > 0 {
@@ -75,7 +75,7 @@
 		directMedians, directTails = directMedians+quantile(direct, 0.5), directTails+quantile(direct, 0.99)
 		medians, tails = medians+quantile(routed, 0.5), tails+quantile(routed, 0.99)
 	}
-	n := float64(turns)
+	n := float64(rounds)
 	report.figure(roleRouter, "first token through the router, median, 100 requests/s", "ms", medians/n)
 	report.figure(roleRouter, "first token direct, median", "ms", directMedians/n)
 	report.figure(roleRouter, "added to the first token, median", "ms", (medians-directMedians)/n)
