--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -61,14 +61,14 @@
 }
 
 // measureLatency compares the time to first token with and without the router, in turns of one run.
-func (p *dataPath) measureLatency(report *Report, rounds int, turn time.Duration) error {
+func (p *dataPath) measureLatency(report *Report, rounds int, roundDuration time.Duration) error {
 	const tokens = 5
-	sendAtRate(latencyRate, turn/2, p.routed(tokens)) // connections are made before the first figure
-	sendAtRate(latencyRate, turn/2, p.direct(tokens))
+	sendAtRate(latencyRate, roundDuration/2, p.routed(tokens)) // connections are made before the first figure
+	sendAtRate(latencyRate, roundDuration/2, p.direct(tokens))
 	var medians, tails, directMedians, directTails float64
 	for range rounds {
-		direct, directFailed := sendAtRate(latencyRate, turn, p.direct(tokens))
-		routed, routedFailed := sendAtRate(latencyRate, turn, p.routed(tokens))
+		direct, directFailed := sendAtRate(latencyRate, roundDuration, p.direct(tokens))
+		routed, routedFailed := sendAtRate(latencyRate, roundDuration, p.routed(tokens))
 		if directFailed+routedFailed > 0 {
 			return eris.Errorf("%d direct and %d routed requests failed", directFailed, routedFailed)
 		}
