--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// measureGaps measures the time between tokens through the router, of engines that give one every tokenGap.
-func (p *dataPath) measureGaps(report *Report, rate int, length time.Duration) error {
+// measureTokenIntervals measures the time between tokens through the router, of engines that give one every tokenGap.
+func (p *dataPath) measureTokenIntervals(report *Report, rate int, length time.Duration) error {
 	p.engines.tokenInterval = engineTokenInterval
 	defer func() { p.engines.tokenInterval = 0 }()
 	var mutex sync.Mutex
