--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -88,7 +88,7 @@
 	p.engines.tokenInterval = engineTokenInterval
 	defer func() { p.engines.tokenInterval = 0 }()
 	var mutex sync.Mutex
-	var gaps []time.Duration
+	var intervals []time.Duration
 	headers := map[string]string{"Authorization": "Bearer " + apiKey}
 	_, failed := sendAtRate(rate, length, func(number int) (time.Duration, error) {
 		body := api.CompletionRequest{Model: serviceName, Prompt: fmt.Sprint(number, p.prompt), MaxTokens: 40, Stream: true}
@@ -97,7 +97,7 @@
 			now := time.Now()
 			if !last.IsZero() {
 				mutex.Lock()
-				gaps = append(gaps, now.Sub(last))
+				intervals = append(intervals, now.Sub(last))
 				mutex.Unlock()
 			}
 			last = now
@@ -106,9 +106,9 @@
 	if failed > 0 {
 		return eris.Errorf("%d streams failed", failed)
 	}
-	slices.Sort(gaps)
-	report.figure(roleRouter, fmt.Sprintf("between tokens through the router, engines give one every %v, median", engineTokenInterval), "ms", quantile(gaps, 0.5))
-	report.figure(roleRouter, "between tokens through the router, p95", "ms", quantile(gaps, 0.95))
+	slices.Sort(intervals)
+	report.figure(roleRouter, fmt.Sprintf("between tokens through the router, engines give one every %v, median", engineTokenInterval), "ms", quantile(intervals, 0.5))
+	report.figure(roleRouter, "between tokens through the router, p95", "ms", quantile(intervals, 0.95))
 	return nil
 }
 
