--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -84,13 +84,13 @@
 }
 
 // measureTokenIntervals measures the time between tokens through the router, of engines that give one every tokenGap.
-func (p *dataPath) measureTokenIntervals(report *Report, rate int, length time.Duration) error {
+func (p *dataPath) measureTokenIntervals(report *Report, rate int, duration time.Duration) error {
 	p.engines.tokenInterval = engineTokenInterval
 	defer func() { p.engines.tokenInterval = 0 }()
 	var mutex sync.Mutex
 	var intervals []time.Duration
 	headers := map[string]string{"Authorization": "Bearer " + apiKey}
-	_, failed := sendAtRate(rate, length, func(number int) (time.Duration, error) {
+	_, failed := sendAtRate(rate, duration, func(number int) (time.Duration, error) {
 		body := api.CompletionRequest{Model: serviceName, Prompt: fmt.Sprint(number, p.prompt), MaxTokens: 40, Stream: true}
 		var last time.Time
 		return stream(p.client, p.router, "/v1/completions", body, headers, func() {
