--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// measureWork measures the router's processor time against requests and tokens a second.
-func (p *dataPath) measureWork(report *Report, rates, tokens []int, length time.Duration) error {
+// measureProcessorTime measures the router's processor time against requests and tokens a second.
+func (p *dataPath) measureProcessorTime(report *Report, rates, tokens []int, length time.Duration) error {
 	var byRate, byTokens []Point
 	phase := func(rate, count int) (float64, error) {
 		failed := 0
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -94,7 +94,7 @@
 	if err := path.measureTokenIntervals(report, 40, time.Second); err != nil {
 		return err
 	}
-	if err := path.measureWork(report, []int{50, 100, 200}, []int{5, 50, 100}, phaseDuration/2); err != nil {
+	if err := path.measureProcessorTime(report, []int{50, 100, 200}, []int{5, 50, 100}, phaseDuration/2); err != nil {
 		return err
 	}
 	if report.Quick {
