--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -113,11 +113,11 @@
 }
 
 // measureProcessorTime measures the router's processor time against requests and tokens a second.
-func (p *dataPath) measureProcessorTime(report *Report, rates, tokens []int, length time.Duration) error {
+func (p *dataPath) measureProcessorTime(report *Report, rates, tokens []int, duration time.Duration) error {
 	var byRate, byTokens []Point
 	phase := func(rate, count int) (float64, error) {
 		failed := 0
-		usage, err := measure(length, func() { _, failed = sendAtRate(rate, length, p.routed(count)) })
+		usage, err := measure(duration, func() { _, failed = sendAtRate(rate, duration, p.routed(count)) })
 		if err == nil && failed > 0 {
 			err = eris.Errorf("%d requests failed at %d a second", failed, rate)
 		}
