--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -143,19 +143,19 @@
 }
 
 // measureStreams measures the memory of open streams, callers and engines of this process included.
-func (p *dataPath) measureStreams(report *Report, sizes []int, opening time.Duration) error {
+func (p *dataPath) measureStreams(report *Report, sizes []int, openDuration time.Duration) error {
 	const every, after = 100 * time.Millisecond, 500 * time.Millisecond
-	tokens := int((opening + 2*after) / every) // the first stream is open until the last one is
+	tokens := int((openDuration + 2*after) / every) // the first stream is open until the last one is
 	var points []Point
 	for _, size := range sizes {
 		p.engines.tokenInterval = every
 		before := heapInUse()
 		done := make(chan int, 1)
 		go func() {
-			_, failed := sendAtRate(int(float64(size)/opening.Seconds()), opening, p.routed(tokens))
+			_, failed := sendAtRate(int(float64(size)/openDuration.Seconds()), openDuration, p.routed(tokens))
 			done <- failed
 		}()
-		time.Sleep(opening + after)
+		time.Sleep(openDuration + after)
 		points = append(points, Point{float64(size), heapInUse() - before})
 		if failed := <-done; failed > 0 {
 			return eris.Errorf("%d of %d streams failed", failed, size)
