--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -144,11 +144,11 @@
 
 // measureStreams measures the memory of open streams, callers and engines of this process included.
 func (p *dataPath) measureStreams(report *Report, sizes []int, openDuration time.Duration) error {
-	const every, after = 100 * time.Millisecond, 500 * time.Millisecond
-	tokens := int((openDuration + 2*after) / every) // the first stream is open until the last one is
+	const tokenInterval, after = 100 * time.Millisecond, 500 * time.Millisecond
+	tokens := int((openDuration + 2*after) / tokenInterval) // the first stream is open until the last one is
 	var points []Point
 	for _, size := range sizes {
-		p.engines.tokenInterval = every
+		p.engines.tokenInterval = tokenInterval
 		before := heapInUse()
 		done := make(chan int, 1)
 		go func() {
