--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -144,8 +144,8 @@
 
 // measureStreams measures the memory of open streams, callers and engines of this process included.
 func (p *dataPath) measureStreams(report *Report, sizes []int, openDuration time.Duration) error {
-	const tokenInterval, after = 100 * time.Millisecond, 500 * time.Millisecond
-	tokens := int((openDuration + 2*after) / tokenInterval) // the first stream is open until the last one is
+	const tokenInterval, settleTime = 100 * time.Millisecond, 500 * time.Millisecond
+	tokens := int((openDuration + 2*settleTime) / tokenInterval) // the first stream is open until the last one is
 	var points []Point
 	for _, size := range sizes {
 		p.engines.tokenInterval = tokenInterval
@@ -155,7 +155,7 @@
 			_, failed := sendAtRate(int(float64(size)/openDuration.Seconds()), openDuration, p.routed(tokens))
 			done <- failed
 		}()
-		time.Sleep(openDuration + after)
+		time.Sleep(openDuration + settleTime)
 		points = append(points, Point{float64(size), heapInUse() - before})
 		if failed := <-done; failed > 0 {
 			return eris.Errorf("%d of %d streams failed", failed, size)
