--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// measureSteady sends many requests and compares the heap after a tenth of them with the heap after all.
-func (p *dataPath) measureSteady(report *Report, rate, count int) error {
+// measureHeapGrowth sends many requests and compares the heap after a tenth of them with the heap after all.
+func (p *dataPath) measureHeapGrowth(report *Report, rate, count int) error {
 	part := time.Duration(count/10) * time.Second / time.Duration(rate)
 	if _, failed := sendAtRate(rate, part, p.routed(2)); failed > 0 {
 		return eris.Errorf("%d requests failed", failed)
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -103,5 +103,5 @@
 	if err := path.measureStreams(report, []int{500, 1000, 2000}, 10*time.Second); err != nil {
 		return err
 	}
-	return path.measureSteady(report, steadyRate, steadyRequests)
+	return path.measureHeapGrowth(report, steadyRate, steadyRequests)
 }
