--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -168,12 +168,12 @@
 
 // measureHeapGrowth sends many requests and compares the heap after a tenth of them with the heap after all.
 func (p *dataPath) measureHeapGrowth(report *Report, rate, count int) error {
-	part := time.Duration(count/10) * time.Second / time.Duration(rate)
-	if _, failed := sendAtRate(rate, part, p.routed(2)); failed > 0 {
+	tenth := time.Duration(count/10) * time.Second / time.Duration(rate)
+	if _, failed := sendAtRate(rate, tenth, p.routed(2)); failed > 0 {
 		return eris.Errorf("%d requests failed", failed)
 	}
 	early := heapInUse()
-	if _, failed := sendAtRate(rate, 9*part, p.routed(2)); failed > 0 {
+	if _, failed := sendAtRate(rate, 9*tenth, p.routed(2)); failed > 0 {
 		return eris.Errorf("%d requests failed", failed)
 	}
 	late := heapInUse()
