--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -14,7 +14,7 @@
 	simultaneousRouters = 300
 	claimClients        = 64
 	claimDuration       = 2 * time.Second // less than a lease: the claiming session is not renewed
-	steadyRequests      = 100_000
+	heapGrowthRequests  = 100_000
 	steadyRate          = 900
 )
 
@@ -103,5 +103,5 @@
 	if err := path.measureStreams(report, []int{500, 1000, 2000}, 10*time.Second); err != nil {
 		return err
 	}
-	return path.measureHeapGrowth(report, steadyRate, steadyRequests)
+	return path.measureHeapGrowth(report, steadyRate, heapGrowthRequests)
 }
