--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -15,7 +15,7 @@
 	claimClients        = 64
 	claimDuration       = 2 * time.Second // less than a lease: the claiming session is not renewed
 	heapGrowthRequests  = 100_000
-	steadyRate          = 900
+	heapGrowthRate      = 900
 )
 
 // Run measures every role. A quick run takes less than a minute; a long one takes longer phases and more sizes.
@@ -103,5 +103,5 @@
 	if err := path.measureStreams(report, []int{500, 1000, 2000}, 10*time.Second); err != nil {
 		return err
 	}
-	return path.measureHeapGrowth(report, steadyRate, heapGrowthRequests)
+	return path.measureHeapGrowth(report, heapGrowthRate, heapGrowthRequests)
 }
