--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -175,8 +175,8 @@
 		cores = append(cores, Point{float64(size), usage.Cores[roleControl]})
 		traffic = append(traffic, Point{float64(size), (routers.counter.total() - before) / usage.Wall.Seconds()})
 	}
-	report.add(roleControl, "processor time of all three replicas", "cores", "node", cores)
-	report.add(roleControl, "bytes between nodes and control, both ways", "bytes/s", "node", traffic)
+	report.addSlope(roleControl, "processor time of all three replicas", "cores", "node", cores)
+	report.addSlope(roleControl, "bytes between nodes and control, both ways", "bytes/s", "node", traffic)
 	return routers, nil
 }
 
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -137,8 +137,8 @@
 		}
 		byTokens = append(byTokens, Point{float64(rates[1] * count), cores})
 	}
-	report.add(roleRouter, fmt.Sprintf("processor time, prompts of %d tokens, answers of %d", promptTokens, tokens[0]), "cores", "request/s", byRate)
-	report.add(roleRouter, "processor time of streams", "cores", "token/s", byTokens)
+	report.addSlope(roleRouter, fmt.Sprintf("processor time, prompts of %d tokens, answers of %d", promptTokens, tokens[0]), "cores", "request/s", byRate)
+	report.addSlope(roleRouter, "processor time of streams", "cores", "token/s", byTokens)
 	return nil
 }
 
@@ -162,7 +162,7 @@
 		}
 	}
 	p.engines.tokenInterval = 0
-	report.add(roleRouter, "heap of open streams, their callers and engines included", "bytes", "stream", points)
+	report.addSlope(roleRouter, "heap of open streams, their callers and engines included", "bytes", "stream", points)
 	return nil
 }
 
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -42,8 +42,8 @@
 	Figures []Figure `json:"figures"`
 }
 
-// add fits and stores a slope.
-func (r *Report) add(role, quantity, unit, per string, points []Point) {
+// addSlope fits and stores a slope.
+func (r *Report) addSlope(role, quantity, unit, per string, points []Point) {
 	slope := Slope{Role: role, Quantity: quantity, Unit: unit, Per: per, Points: points}
 	slope.fit()
 	r.Slopes = append(r.Slopes, slope)
--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -214,8 +214,8 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	conditions := fmt.Sprintf("polling 10 times a second, %d blocks stored and evicted a second on each", blockChanges)
-	report.add(roleRouter, "processor time, "+conditions, "cores", "engine", cores)
-	report.add(roleRouter, "bytes, "+conditions, "bytes/s", "engine", traffic)
+	report.addSlope(roleRouter, "processor time, "+conditions, "cores", "engine", cores)
+	report.addSlope(roleRouter, "bytes, "+conditions, "bytes/s", "engine", traffic)
 	return nil
 }
 
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -42,8 +42,8 @@
 		}
 		change = append(change, Point{float64(index.Len()), time.Since(started).Seconds() * 1e6 / float64(2*changes*eventBlocks)})
 	}
-	report.add("prefix index", "memory", "bytes", "believed block", memory)
-	report.add("prefix index", "processor time of one block change", "us", "believed block", change)
+	report.addSlope("prefix index", "memory", "bytes", "believed block", memory)
+	report.addSlope("prefix index", "processor time of one block change", "us", "believed block", change)
 	report.figure("prefix index", fmt.Sprintf("processor time of one block change at %.0f blocks", change[len(change)-1].Size), "us", change[len(change)-1].Value)
 }
 
@@ -66,8 +66,8 @@
 		}
 		snapshot = append(snapshot, Point{float64(size), float64(len(data))})
 	}
-	report.add("ledger", "memory", "bytes", "kept answer", memory)
-	report.add("ledger", "snapshot on disk", "bytes", "kept answer", snapshot)
+	report.addSlope("ledger", "memory", "bytes", "kept answer", memory)
+	report.addSlope("ledger", "snapshot on disk", "bytes", "kept answer", snapshot)
 	return nil
 }
 
@@ -101,8 +101,8 @@
 		}
 		encoded = append(encoded, Point{float64(size), float64(len(data))})
 	}
-	report.add("settings tree", "memory", "bytes", "tenant", memory)
-	report.add("settings tree", "whole tree on the wire", "bytes", "tenant", encoded)
+	report.addSlope("settings tree", "memory", "bytes", "tenant", memory)
+	report.addSlope("settings tree", "whole tree on the wire", "bytes", "tenant", encoded)
 	const rounds = 2000
 	started := time.Now()
 	for i := range rounds {
@@ -126,7 +126,7 @@
 	for _, size := range sizes {
 		points = append(points, Point{float64(size), decisionTime(size, rounds)})
 	}
-	report.add("router decision", "processor time", "us", "engine of the service", points)
+	report.addSlope("router decision", "processor time", "us", "engine of the service", points)
 	report.figure("router decision", fmt.Sprintf("processor time at %d engines", sizes[len(sizes)-1]), "us", points[len(points)-1].Value)
 }
 
