--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -203,9 +203,9 @@
 		}
 	}
 	sent := routers.counter.total() - before - heartbeatRate*time.Since(started).Seconds()
-	report.figure(roleControl, fmt.Sprintf("change until in force on %d nodes, mean", routers.count), "s", total.Seconds()/float64(changes))
-	report.figure(roleControl, fmt.Sprintf("change until in force on %d nodes, slowest of %d", routers.count, changes), "s", slowest.Seconds())
-	report.figure(roleControl, "bytes a change sends to a node beyond its heartbeats", "bytes", max(0, sent)/float64(changes)/float64(routers.count))
+	report.addFigure(roleControl, fmt.Sprintf("change until in force on %d nodes, mean", routers.count), "s", total.Seconds()/float64(changes))
+	report.addFigure(roleControl, fmt.Sprintf("change until in force on %d nodes, slowest of %d", routers.count, changes), "s", slowest.Seconds())
+	report.addFigure(roleControl, "bytes a change sends to a node beyond its heartbeats", "bytes", max(0, sent)/float64(changes)/float64(routers.count))
 	return nil
 }
 
@@ -243,10 +243,10 @@
 	}
 	workers.Wait()
 	after, afterTime := g.syncTotals()
-	report.figure(roleControl, fmt.Sprintf("ledger claims a second, three replicas, %d clients", clients), "1/s", float64(granted)/length.Seconds())
-	report.figure(roleControl, "mean time of a claim", "ms", totalTime.Seconds()*1000/float64(max(1, granted)))
-	report.figure(roleControl, "mean time of one write and sync", "ms", (afterTime-synced).Seconds()*1000/float64(max(1, after-syncs)))
-	report.figure(roleControl, "claims that share one write and sync", "claims", float64(granted)*replicas/float64(max(1, after-syncs)))
+	report.addFigure(roleControl, fmt.Sprintf("ledger claims a second, three replicas, %d clients", clients), "1/s", float64(granted)/length.Seconds())
+	report.addFigure(roleControl, "mean time of a claim", "ms", totalTime.Seconds()*1000/float64(max(1, granted)))
+	report.addFigure(roleControl, "mean time of one write and sync", "ms", (afterTime-synced).Seconds()*1000/float64(max(1, after-syncs)))
+	report.addFigure(roleControl, "claims that share one write and sync", "claims", float64(granted)*replicas/float64(max(1, after-syncs)))
 	return nil
 }
 
@@ -266,8 +266,8 @@
 	started := time.Now()
 	routers.addUntil(count)
 	took := time.Since(started)
-	report.figure(roleControl, fmt.Sprintf("herd of %d routers starting at once, until all have a lease at the newest settings", count), "s", took.Seconds())
-	report.figure(roleControl, "bytes of the herd, by router", "bytes", routers.counter.total()/float64(count))
+	report.addFigure(roleControl, fmt.Sprintf("herd of %d routers starting at once, until all have a lease at the newest settings", count), "s", took.Seconds())
+	report.addFigure(roleControl, "bytes of the herd, by router", "bytes", routers.counter.total()/float64(count))
 }
 
 // measureLeaderLoss ends the leading replica and measures the time until the next change is accepted.
@@ -288,7 +288,7 @@
 		return err
 	}
 	took := time.Since(started)
-	report.figure(roleControl, "loss of the leader until the next accepted change", "s", took.Seconds())
-	report.figure(roleControl, "the same in heartbeats", "heartbeats", took.Seconds()/leaderHeartbeatInterval.Seconds())
+	report.addFigure(roleControl, "loss of the leader until the next accepted change", "s", took.Seconds())
+	report.addFigure(roleControl, "the same in heartbeats", "heartbeats", took.Seconds()/leaderHeartbeatInterval.Seconds())
 	return nil
 }
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -76,10 +76,10 @@
 		medians, tails = medians+quantile(routed, 0.5), tails+quantile(routed, 0.99)
 	}
 	n := float64(rounds)
-	report.figure(roleRouter, "first token through the router, median, 100 requests/s", "ms", medians/n)
-	report.figure(roleRouter, "first token direct, median", "ms", directMedians/n)
-	report.figure(roleRouter, "added to the first token, median", "ms", (medians-directMedians)/n)
-	report.figure(roleRouter, "added to the first token, p99", "ms", (tails-directTails)/n)
+	report.addFigure(roleRouter, "first token through the router, median, 100 requests/s", "ms", medians/n)
+	report.addFigure(roleRouter, "first token direct, median", "ms", directMedians/n)
+	report.addFigure(roleRouter, "added to the first token, median", "ms", (medians-directMedians)/n)
+	report.addFigure(roleRouter, "added to the first token, p99", "ms", (tails-directTails)/n)
 	return nil
 }
 
@@ -107,8 +107,8 @@
 		return eris.Errorf("%d streams failed", failed)
 	}
 	slices.Sort(intervals)
-	report.figure(roleRouter, fmt.Sprintf("between tokens through the router, engines give one every %v, median", engineTokenInterval), "ms", quantile(intervals, 0.5))
-	report.figure(roleRouter, "between tokens through the router, p95", "ms", quantile(intervals, 0.95))
+	report.addFigure(roleRouter, fmt.Sprintf("between tokens through the router, engines give one every %v, median", engineTokenInterval), "ms", quantile(intervals, 0.5))
+	report.addFigure(roleRouter, "between tokens through the router, p95", "ms", quantile(intervals, 0.95))
 	return nil
 }
 
@@ -177,7 +177,7 @@
 		return eris.Errorf("%d requests failed", failed)
 	}
 	late := heapInUse()
-	report.figure(roleRouter, fmt.Sprintf("heap after %d requests, whole process", count/10), "bytes", early)
-	report.figure(roleRouter, fmt.Sprintf("heap after %d requests, whole process", count), "bytes", late)
+	report.addFigure(roleRouter, fmt.Sprintf("heap after %d requests, whole process", count/10), "bytes", early)
+	report.addFigure(roleRouter, fmt.Sprintf("heap after %d requests, whole process", count), "bytes", late)
 	return nil
 }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -49,7 +49,7 @@
 	r.Slopes = append(r.Slopes, slope)
 }
 
-func (r *Report) figure(role, name, unit string, value float64) {
+func (r *Report) addFigure(role, name, unit string, value float64) {
 	r.Figures = append(r.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value})
 }
 
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -44,7 +44,7 @@
 	}
 	report.addSlope("prefix index", "memory", "bytes", "believed block", memory)
 	report.addSlope("prefix index", "processor time of one block change", "us", "believed block", change)
-	report.figure("prefix index", fmt.Sprintf("processor time of one block change at %.0f blocks", change[len(change)-1].Size), "us", change[len(change)-1].Value)
+	report.addFigure("prefix index", fmt.Sprintf("processor time of one block change at %.0f blocks", change[len(change)-1].Size), "us", change[len(change)-1].Value)
 }
 
 // measureLedger measures the memory and the snapshot of a run record.
@@ -108,7 +108,7 @@
 	for i := range rounds {
 		tree.Resolve("z", "model-1", fmt.Sprintf("tenant-%d", i%100))
 	}
-	report.figure("settings tree", "time to resolve a place, not yet cached", "us", time.Since(started).Seconds()*1e6/rounds)
+	report.addFigure("settings tree", "time to resolve a place, not yet cached", "us", time.Since(started).Seconds()*1e6/rounds)
 	edits := []settings.Edit{{Path: "/", Setting: "queue_limit", Value: json.RawMessage("77")}}
 	started = time.Now()
 	for range 20 {
@@ -116,7 +116,7 @@
 			panic("scale: edit is refused: " + problems[0].String())
 		}
 	}
-	report.figure("settings tree", fmt.Sprintf("time to apply and check a change, %d tenants", sizes[len(sizes)-1]), "ms", time.Since(started).Seconds()*1000/20)
+	report.addFigure("settings tree", fmt.Sprintf("time to apply and check a change, %d tenants", sizes[len(sizes)-1]), "ms", time.Since(started).Seconds()*1000/20)
 	return nil
 }
 
@@ -127,7 +127,7 @@
 		points = append(points, Point{float64(size), decisionTime(size, rounds)})
 	}
 	report.addSlope("router decision", "processor time", "us", "engine of the service", points)
-	report.figure("router decision", fmt.Sprintf("processor time at %d engines", sizes[len(sizes)-1]), "us", points[len(points)-1].Value)
+	report.addFigure("router decision", fmt.Sprintf("processor time at %d engines", sizes[len(sizes)-1]), "us", points[len(points)-1].Value)
 }
 
 // decisionTime returns microseconds from a request's arrival to its dispatch.
