--- a/internal/lab/bench/goodput_test.go
+++ b/internal/lab/bench/goodput_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRejectingEarlyKeepsGoodputUnderOverload: refusing in time keeps at least 0.9 of the peak at twice the load; sending everything does not.
-func TestRejectingEarlyKeepsGoodputUnderOverload(t *testing.T) {
+// TestGoodputStaysUnderOverload: refusing in time keeps at least 0.9 of the peak at twice the load; sending everything does not.
+func TestGoodputStaysUnderOverload(t *testing.T) {
 	for seed := range uint64(5) {
 		peak := map[bool]float64{}
 		at := map[bool]map[float64]float64{false: {}, true: {}}
