--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -178,8 +178,8 @@
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
 	if longestCached > cachedBlocks && source != node.name {
 		importTokens := (longestCached - cachedBlocks) * p.run.options.blockTokens()
-		importTime := seconds(float64(importTokens)/rates.ImportTokensPerSecond) + seconds(float64(p.uncachedTokens(context.Request, longestCached))/rates.PrefillTokensPerSecond)
-		if importTime < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
+		timeWithImport := seconds(float64(importTokens)/rates.ImportTokensPerSecond) + seconds(float64(p.uncachedTokens(context.Request, longestCached))/rates.PrefillTokensPerSecond)
+		if timeWithImport < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
 			candidate.ImportBlocks, candidate.ImportFrom = longestCached, source
 			compute, copied = p.uncachedTokens(context.Request, longestCached), seconds(float64(importTokens)/rates.ImportTokensPerSecond)
 			displaced = seconds(core.DisplacedFraction * float64(importTokens) / rates.PrefillTokensPerSecond)
