--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -174,7 +174,7 @@
 	rates := p.run.rates
 	cachedBlocks := node.model.CachedPrefix(context.Request.Chains[0].Blocks)
 	compute := p.uncachedTokens(context.Request, cachedBlocks)
-	importTime, displaced := time.Duration(0), time.Duration(0)
+	importTime, displacedTime := time.Duration(0), time.Duration(0)
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
 	if longestCached > cachedBlocks && source != node.name {
 		importTokens := (longestCached - cachedBlocks) * p.run.options.blockTokens()
@@ -182,14 +182,14 @@
 		if timeWithImport < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
 			candidate.ImportBlocks, candidate.ImportFrom = longestCached, source
 			compute, importTime = p.uncachedTokens(context.Request, longestCached), seconds(float64(importTokens)/rates.ImportTokensPerSecond)
-			displaced = seconds(core.DisplacedFraction * float64(importTokens) / rates.PrefillTokensPerSecond)
+			displacedTime = seconds(core.DisplacedFraction * float64(importTokens) / rates.PrefillTokensPerSecond)
 		}
 	}
 	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokensPerSecond)
 	work := seconds(float64(compute) / rates.PrefillTokensPerSecond)
 	candidate.Cached, candidate.Uncached = cachedBlocks*p.run.options.blockTokens(), compute
 	candidate.Predicted = wait + work + importTime
-	candidate.Cost = context.Values.TimeWeight*candidate.Predicted.Seconds() + context.Values.RecomputeWeight*(work+displaced).Seconds()
+	candidate.Cost = context.Values.TimeWeight*candidate.Predicted.Seconds() + context.Values.RecomputeWeight*(work+displacedTime).Seconds()
 }
 
 func (p clairvoyantPlacer) uncachedTokens(request *core.Request, blocks int) int {
