--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -173,21 +173,21 @@
 	node := p.run.engines[candidate.Engine]
 	rates := p.run.rates
 	cachedBlocks := node.model.CachedPrefix(context.Request.Chains[0].Blocks)
-	compute := p.uncachedTokens(context.Request, cachedBlocks)
+	computeTokens := p.uncachedTokens(context.Request, cachedBlocks)
 	importTime, displacedTime := time.Duration(0), time.Duration(0)
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
 	if longestCached > cachedBlocks && source != node.name {
 		importTokens := (longestCached - cachedBlocks) * p.run.options.blockTokens()
 		timeWithImport := seconds(float64(importTokens)/rates.ImportTokensPerSecond) + seconds(float64(p.uncachedTokens(context.Request, longestCached))/rates.PrefillTokensPerSecond)
-		if timeWithImport < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
+		if timeWithImport < seconds(float64(computeTokens)/rates.PrefillTokensPerSecond) {
 			candidate.ImportBlocks, candidate.ImportFrom = longestCached, source
-			compute, importTime = p.uncachedTokens(context.Request, longestCached), seconds(float64(importTokens)/rates.ImportTokensPerSecond)
+			computeTokens, importTime = p.uncachedTokens(context.Request, longestCached), seconds(float64(importTokens)/rates.ImportTokensPerSecond)
 			displacedTime = seconds(core.DisplacedFraction * float64(importTokens) / rates.PrefillTokensPerSecond)
 		}
 	}
 	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokensPerSecond)
-	work := seconds(float64(compute) / rates.PrefillTokensPerSecond)
-	candidate.Cached, candidate.Uncached = cachedBlocks*p.run.options.blockTokens(), compute
+	work := seconds(float64(computeTokens) / rates.PrefillTokensPerSecond)
+	candidate.Cached, candidate.Uncached = cachedBlocks*p.run.options.blockTokens(), computeTokens
 	candidate.Predicted = wait + work + importTime
 	candidate.Cost = context.Values.TimeWeight*candidate.Predicted.Seconds() + context.Values.RecomputeWeight*(work+displacedTime).Seconds()
 }
