--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -47,11 +47,11 @@
 
 // measureProcesses runs the phases with real control replicas and routers.
 func measureProcesses(ctx context.Context, report *Report, folder string, nodes, engines []int, phaseDuration time.Duration) error {
-	idle, err := startEmulatedEngines(ctx, 0, 0)
+	noEngines, err := startEmulatedEngines(ctx, 0, 0)
 	if err != nil {
 		return err
 	}
-	g, err := startGroup(ctx, folder, idle.platform)
+	g, err := startGroup(ctx, folder, noEngines.platform)
 	if err != nil {
 		return err
 	}
