--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -73,8 +73,8 @@
 	return g, err
 }
 
-func (g *group) req(limit time.Duration, request control.Request) (control.Response, error) {
-	ctx, cancel := context.WithTimeout(g.ctx, limit)
+func (g *group) req(timeout time.Duration, request control.Request) (control.Response, error) {
+	ctx, cancel := context.WithTimeout(g.ctx, timeout)
 	defer cancel()
 	return g.client.Ask(ctx, request)
 }
