--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -18,10 +18,10 @@
 	speed  float64       // of its monotonic clock
 	leftAt time.Duration // when the machine list said that it leaves; 0 when it does not
 	wokeAt time.Duration // when it last went on after a freeze
-	// suspendedAt is when its machine was suspended, or 0; lost is how long it was in this life. Timers stand still meanwhile.
-	suspendedAt, lost time.Duration
-	backlog           []func()     // what arrived while it was frozen
-	open              []connection // connections that break when it dies
+	// suspendedAt is when its machine was suspended, or 0; suspendedFor is how long it was in this life. Timers stand still meanwhile.
+	suspendedAt, suspendedFor time.Duration
+	backlog                   []func()     // what arrived while it was frozen
+	open                      []connection // connections that break when it dies
 }
 
 // clockSkew is how much faster or slower than true time a process's monotonic clock may run.
@@ -37,7 +37,7 @@
 	if p.w.guards.On(guard.SuspendAwareClock) {
 		return 0
 	}
-	return p.lost
+	return p.suspendedFor
 }
 
 // trueTime returns when the process's clock, started at a true time, shows a reading.
@@ -53,7 +53,7 @@
 func (p *process) start() {
 	p.life++
 	p.up, p.frozen = true, false
-	p.suspendedAt, p.lost = 0, 0
+	p.suspendedAt, p.suspendedFor = 0, 0
 }
 
 // kill ends the life. A silent death breaks connections late, as when a machine loses its power.
@@ -131,7 +131,7 @@
 	}
 	p.frozen, p.wokeAt = false, p.w.now()
 	if p.suspendedAt > 0 {
-		p.lost += p.w.now() - p.suspendedAt
+		p.suspendedFor += p.w.now() - p.suspendedAt
 		p.suspendedAt = 0
 	}
 	p.w.logf("%s thaws with %d things waiting", p.name, len(p.backlog))
@@ -156,10 +156,10 @@
 
 // after sets a timer of the process's current life. It stands still while the machine is suspended.
 func (p *process) after(delay time.Duration, do func()) {
-	life, lost, armed := p.life, p.lost, p.w.now()
+	life, lost, armed := p.life, p.suspendedFor, p.w.now()
 	p.w.after(delay, func() {
 		p.run(life, func() {
-			if left := delay - (p.w.now() - armed - (p.lost - lost)); left > 0 {
+			if left := delay - (p.w.now() - armed - (p.suspendedFor - lost)); left > 0 {
 				p.after(left, do)
 				return
 			}
