--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -29,11 +29,11 @@
 
 // elapsed returns what the process's clock shows between two true times.
 func (p *process) elapsed(from, to time.Duration) time.Duration {
-	return time.Duration(float64(to-from-p.uncounted()) * p.speed)
+	return time.Duration(float64(to-from-p.uncountedTime()) * p.speed)
 }
 
-// uncounted returns how much of this life the clock doesn't count.
-func (p *process) uncounted() time.Duration {
+// uncountedTime returns how much of this life the clock doesn't count.
+func (p *process) uncountedTime() time.Duration {
 	if p.w.guards.On(guard.SuspendAwareClock) {
 		return 0
 	}
@@ -42,7 +42,7 @@
 
 // trueTime returns when the process's clock, started at a true time, shows a reading.
 func (p *process) trueTime(start, reading time.Duration) time.Duration {
-	return start + p.uncounted() + time.Duration(float64(reading)/p.speed)
+	return start + p.uncountedTime() + time.Duration(float64(reading)/p.speed)
 }
 
 func newProcess(w *world, name, zone string) *process {
