--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -164,7 +164,7 @@
 		o.deadly[f] = d
 	}
 	now := o.w.now()
-	well := now > max(o.controlFault, g.startedAt, g.wokeAt, d.thirdAt)+deadlyContact
+	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thirdAt)+deadlyContact
 	if d.ended >= quarantine.QuarantineThreshold && well {
 		if d.later++; d.later > deadlyMore {
 			o.fail(HeldBackTrue, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.ended, now-d.thirdAt)
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -191,7 +191,7 @@
 	if servesLast {
 		o.fail(RestartServes, "%s refused %s as %s although it holds settings %d", r.name, run.job.name, final.Reason, r.saved.Version)
 	}
-	calm := o.accepted > 0 && o.w.now() > max(o.controlFault, r.wokeAt, o.firstAccept)+calmNeeded
+	calm := o.accepted > 0 && o.w.now() > max(o.controlFault, r.resumedAt, o.firstAccept)+calmNeeded
 	if calm && r.saved.Version > 0 {
 		o.fail(RestartServes, "%s refused %s as %s while control was well", r.name, run.job.name, final.Reason)
 	}
