--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -63,14 +63,14 @@
 // leave has the machine list say that a back end leaves; the back end itself does not know. Later it ends, and comes
 // back as a new one.
 func (w *world) leave(p *process, n node) {
-	if p.leftAt > 0 {
+	if p.drainingSince > 0 {
 		return
 	}
-	p.leftAt = w.now()
+	p.drainingSince = w.now()
 	w.logf("%s is to leave", p.name)
 	w.after(leaveLength, func() {
 		p.kill(false)
-		p.leftAt = 0
+		p.drainingSince = 0
 		w.restart(n, awayLength)
 	})
 }
--- a/internal/lab/sim/platform.go
+++ b/internal/lab/sim/platform.go
@@ -35,10 +35,10 @@
 		}
 	}
 	for _, e := range p.w.engines {
-		add(e.process, modelService, e.leftAt > 0)
+		add(e.process, modelService, e.drainingSince > 0)
 	}
 	for _, s := range p.w.services {
-		add(s.process, smallService, s.leftAt > 0)
+		add(s.process, smallService, s.drainingSince > 0)
 	}
 	p.readings = append(p.readings, machines)
 	if len(p.readings) > readingsKept {
@@ -55,7 +55,7 @@
 // leftAt returns when the platform said that a back end leaves, or 0.
 func (w *world) leftAt(name string) time.Duration {
 	if e := w.engine(name); e != nil {
-		return e.leftAt
+		return e.drainingSince
 	}
-	return w.service(name).leftAt
+	return w.service(name).drainingSince
 }
--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -9,15 +9,15 @@
 
 // process is one simulated process: it can be killed, started again, frozen and thawed.
 type process struct {
-	w         *world
-	name      string
-	zone      string
-	life      int // raised at each start and each end
-	up        bool
-	frozen    bool
-	speed     float64       // of its monotonic clock
-	leftAt    time.Duration // when the machine list said that it leaves; 0 when it does not
-	resumedAt time.Duration // when it last went on after a freeze
+	w             *world
+	name          string
+	zone          string
+	life          int // raised at each start and each end
+	up            bool
+	frozen        bool
+	speed         float64       // of its monotonic clock
+	drainingSince time.Duration // when the machine list said that it leaves; 0 when it does not
+	resumedAt     time.Duration // when it last went on after a freeze
 	// suspendedAt is when its machine was suspended, or 0; suspendedFor is how long it was in this life. Timers stand still meanwhile.
 	suspendedAt, suspendedFor time.Duration
 	backlog                   []func()     // what arrived while it was frozen
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -141,11 +141,11 @@
 	}
 	for _, e := range w.engines {
 		e.thaw()
-		e.leftAt = 0
+		e.drainingSince = 0
 		w.restart(e, 0)
 	}
 	for _, s := range w.services {
-		s.leftAt = 0
+		s.drainingSince = 0
 		w.restart(s, 0)
 	}
 }
