--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -21,7 +21,7 @@
 	// suspendedAt is when its machine was suspended, or 0; suspendedFor is how long it was in this life. Timers stand still meanwhile.
 	suspendedAt, suspendedFor time.Duration
 	backlog                   []func()     // what arrived while it was frozen
-	open                      []connection // connections that break when it dies
+	connections               []connection // connections that break when it dies
 }
 
 // clockSkew is how much faster or slower than true time a process's monotonic clock may run.
@@ -64,8 +64,8 @@
 	p.life++
 	p.up, p.frozen = false, false
 	p.backlog = nil
-	broken := p.open
-	p.open = nil
+	broken := p.connections
+	p.connections = nil
 	p.w.logf("%s dies, silently=%v", p.name, silent)
 	soonest, latest := time.Millisecond, 3*time.Millisecond
 	if silent {
@@ -110,10 +110,10 @@
 
 // connect notes a connection to the process.
 func (p *process) connect(fresh connection) {
-	if len(p.open) >= connectionsSwept {
-		p.open = slices.DeleteFunc(p.open, connection.ended)
+	if len(p.connections) >= connectionsSwept {
+		p.connections = slices.DeleteFunc(p.connections, connection.ended)
 	}
-	p.open = append(p.open, fresh)
+	p.connections = append(p.connections, fresh)
 }
 
 // freeze stops the process; what arrives waits.
