--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -105,12 +105,12 @@
 	ended() bool
 }
 
-// connectionsSwept is the number of connections from which ended ones are dropped.
-const connectionsSwept = 256
+// maxTrackedConnections is the number of connections from which ended ones are dropped.
+const maxTrackedConnections = 256
 
 // connect notes a connection to the process.
 func (p *process) connect(fresh connection) {
-	if len(p.connections) >= connectionsSwept {
+	if len(p.connections) >= maxTrackedConnections {
 		p.connections = slices.DeleteFunc(p.connections, connection.ended)
 	}
 	p.connections = append(p.connections, fresh)
