--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -59,7 +59,7 @@
 	ran        bool // a back end took it
 }
 
-func (e *exchange) promptTokens() int { return len(e.job.segments)*blockToken + 1 }
+func (e *exchange) promptTokens() int { return len(e.job.segments)*tokensPerBlock + 1 }
 
 // callers are everybody who sends requests.
 type callers struct {
@@ -102,7 +102,7 @@
 
 // segment is the text of one block.
 func segment(label string, block int) string {
-	const size = blockToken * prefix.BytesPerToken
+	const size = tokensPerBlock * prefix.BytesPerToken
 	text := fmt.Sprintf("%s block %d", label, block)
 	return text + strings.Repeat(".", size-len(text))
 }
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -78,7 +78,7 @@
 	if e.model != nil {
 		weights = e.model.Weights // they stay on the machine
 	}
-	e.model = engine.New(e.name, e.lives, weights, simRates(), blockToken, e.w.random.Uint64(), e.w.guards)
+	e.model = engine.New(e.name, e.lives, weights, simRates(), tokensPerBlock, e.w.random.Uint64(), e.w.guards)
 	e.model.Import = e.importFrom
 	e.alarm = vtime.Alarm{}
 	e.w.logf("%s starts as incarnation %d with weights %s", e.name, e.lives, weights)
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -145,7 +145,7 @@
 
 // engineReused checks every block that a job reuses against what the block really holds.
 func (o *oracle) engineReused(e *engineNode, s *sending, output engine.Output) {
-	for block := range output.Cached / blockToken {
+	for block := range output.Cached / tokensPerBlock {
 		wanted := s.request.job.content(output.Weights, block)
 		if held, found := e.cached[output.Job.Blocks[block]]; !found || held != wanted {
 			o.fail(CacheIsolation, "%s reuses block %d for %s of %s under %s, but it holds %+v",
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -55,7 +55,7 @@
 	r.nextID = 0
 	r.asker = newAsker(r.w, r.process)
 	r.core = core.New(core.Config{
-		Router: r.name, Zone: r.zone, Seed: r.w.random.Uint64(), BlockTokens: blockToken, IndexLimit: 2000,
+		Router: r.name, Zone: r.zone, Seed: r.w.random.Uint64(), BlockTokens: tokensPerBlock, IndexLimit: 2000,
 		ZoneLatency: map[string]time.Duration{}, ImportRate: 4000, Guards: r.w.guards,
 	})
 	held := session.Settings{}
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -72,7 +72,7 @@
 	w.tellsLives = seed/2%2 == 0
 	w.network.cut = map[[2]string]int{}
 	w.oracle = newOracle(w)
-	w.hasher = prefix.NewHasher([prefix.KeyBytes]byte{1}, blockToken, guards)
+	w.hasher = prefix.NewHasher([prefix.KeyBytes]byte{1}, tokensPerBlock, guards)
 	w.makeNodes()
 	w.platform.boot()
 	for _, e := range w.engines {
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	activeTime = 100 * time.Second // callers, operators and faults are active
-	settleTime = 25 * time.Second  // faults are healed and everything must come to rest
-	blockToken = 8                 // tokens of a cache block
+	activeTime     = 100 * time.Second // callers, operators and faults are active
+	settleTime     = 25 * time.Second  // faults are healed and everything must come to rest
+	tokensPerBlock = 8                 // tokens of a cache block
 )
 
 // RunLength is the virtual time of one seed.
