--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -316,7 +316,7 @@
 	question := &control.Watch{
 		Gateway: g.process.name, Zone: g.zone, Revision: g.revision, Roster: g.version, Hold: fleetHold, Quarantine: g.record.Version(),
 	}
-	if g.w.relayed && g.w.chance(fleetMoves) {
+	if g.w.relaysWatches && g.w.chance(fleetMoves) {
 		g.asker.leader = pick(g.w, g.w.controls).name // another replica answers from now on
 	}
 	g.asker.once(control.Request{Watch: question}, askTimeout, func(response control.Response, answered bool) {
@@ -376,7 +376,7 @@
 
 // relayAbove is how many gateways the leader answers by itself: all, or none in every other run.
 func (w *world) relayAbove() int {
-	if w.relayed {
+	if w.relaysWatches {
 		return 0
 	}
 	return alone
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -68,7 +68,7 @@
 // newWorldOf makes a world with so many gateways. In every other one, and with more than usual, replicas answer them for the leader.
 func newWorldOf(gateways int, seed uint64, guards guard.Set, trace io.Writer) *world {
 	w := &world{seed: seed, random: rand.New(rand.NewPCG(seed, seedStream)), guards: guards, trace: trace, gatewayCount: gateways}
-	w.relayed = seed%2 == 0 || gateways > fleetGateways
+	w.relaysWatches = seed%2 == 0 || gateways > fleetGateways
 	w.tellsLives = seed/2%2 == 0
 	w.network.cut = map[[2]string]int{}
 	w.oracle = newOracle(w)
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -46,7 +46,7 @@
 	backends       []*fleetBackend // of the gateway fleet
 	gateways       []*fleetGateway
 	gatewayCount   int
-	relayed        bool // replicas answer gateways for the leader
+	relaysWatches  bool // replicas answer gateways for the leader
 	tellsLives     bool // back ends keep their names and tell when they were started
 	fleetOperators []*fleetOperator
 	faults         int
