--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -133,7 +133,7 @@
 
 // nextID returns the id of the life that begins: the back end's own name and its start, or, in every other run, a name of each life.
 func (b *fleetBackend) nextID() string {
-	if b.w.tellsLives {
+	if b.w.reportsStartTime {
 		return catalog.Incarnation{Name: b.process.name, StartedMS: b.w.today().UnixMilli()}.ID()
 	}
 	return fmt.Sprintf("%s-%d", b.process.name, b.lives)
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -69,7 +69,7 @@
 func newWorldOf(gateways int, seed uint64, guards guard.Set, trace io.Writer) *world {
 	w := &world{seed: seed, random: rand.New(rand.NewPCG(seed, seedStream)), guards: guards, trace: trace, gatewayCount: gateways}
 	w.relaysWatches = seed%2 == 0 || gateways > fleetGateways
-	w.tellsLives = seed/2%2 == 0
+	w.reportsStartTime = seed/2%2 == 0
 	w.network.cut = map[[2]string]int{}
 	w.oracle = newOracle(w)
 	w.hasher = prefix.NewHasher([prefix.KeyBytes]byte{1}, tokensPerBlock, guards)
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -35,29 +35,29 @@
 	oracle *oracle
 	hasher *prefix.Hasher
 
-	network        network
-	controls       []*controlNode
-	routers        []*routerNode
-	engines        []*engineNode
-	services       []*serviceNode
-	platform       *platform
-	callers        *callers
-	operators      []*operator
-	backends       []*fleetBackend // of the gateway fleet
-	gateways       []*fleetGateway
-	gatewayCount   int
-	relaysWatches  bool // replicas answer gateways for the leader
-	tellsLives     bool // back ends keep their names and tell when they were started
-	fleetOperators []*fleetOperator
-	faults         int
-	needs          *rand.Rand // chances of back ends that name a limit
-	builds         *rand.Rand // chances of control processes that run two builds; nil where all run one
-	raised         raised
-	killed         int // runs that back ends of the fleet took along
-	mischief       mischief
-	history        *History // nil: not recorded
-	onAccept       []func() // run once, at the next accepted change
-	onNamed        []func() // run once, when the next naming of weights is acknowledged
+	network          network
+	controls         []*controlNode
+	routers          []*routerNode
+	engines          []*engineNode
+	services         []*serviceNode
+	platform         *platform
+	callers          *callers
+	operators        []*operator
+	backends         []*fleetBackend // of the gateway fleet
+	gateways         []*fleetGateway
+	gatewayCount     int
+	relaysWatches    bool // replicas answer gateways for the leader
+	reportsStartTime bool // back ends keep their names and tell when they were started
+	fleetOperators   []*fleetOperator
+	faults           int
+	needs            *rand.Rand // chances of back ends that name a limit
+	builds           *rand.Rand // chances of control processes that run two builds; nil where all run one
+	raised           raised
+	killed           int // runs that back ends of the fleet took along
+	mischief         mischief
+	history          *History // nil: not recorded
+	onAccept         []func() // run once, at the next accepted change
+	onNamed          []func() // run once, when the next naming of weights is acknowledged
 }
 
 // after schedules something that no process does.
