--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -60,12 +60,12 @@
 
 // planNeeds lets back ends be in need in half of all runs. Its chances are its own, so that the other runs are as they were without it.
 func (w *world) planNeeds() {
-	w.needs = rand.New(rand.NewPCG(w.seed, needStream))
+	w.limitRandom = rand.New(rand.NewPCG(w.seed, needStream))
 	if w.seed/4%2 == 0 {
 		return
 	}
-	for range 1 + w.needs.IntN(needsMost) {
-		at := firstFault + time.Duration(w.needs.Int64N(int64(lastFault-firstFault)))
+	for range 1 + w.limitRandom.IntN(needsMost) {
+		at := firstFault + time.Duration(w.limitRandom.Int64N(int64(lastFault-firstFault)))
 		w.after(at, w.beginNeed)
 	}
 }
@@ -73,13 +73,13 @@
 // beginNeed lets one engine and one back end of the fleet, or all of them, name a limit for a while.
 func (w *world) beginNeed() {
 	now := w.now()
-	made := need{from: now, until: now + 6*time.Second + time.Duration(w.needs.Int64N(int64(14*time.Second))), rate: 6 * w.needs.Float64()}
+	made := need{from: now, until: now + 6*time.Second + time.Duration(w.limitRandom.Int64N(int64(14*time.Second))), rate: 6 * w.limitRandom.Float64()}
 	made.later = made.rate
-	if w.needs.Float64() < needChangeShare {
-		made.later = 6 * w.needs.Float64()
+	if w.limitRandom.Float64() < needChangeShare {
+		made.later = 6 * w.limitRandom.Float64()
 	}
-	all := w.needs.Float64() < needAllShare
-	engine, backend := w.needs.IntN(len(w.engines)), w.needs.IntN(len(w.backends))
+	all := w.limitRandom.Float64() < needAllShare
+	engine, backend := w.limitRandom.IntN(len(w.engines)), w.limitRandom.IntN(len(w.backends))
 	w.logf("FAULT back ends name a limit of %.2f, then %.2f, until %v; all: %v", made.rate, made.later, made.until, all)
 	for i, e := range w.engines {
 		if all || i == engine {
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -50,7 +50,7 @@
 	reportsStartTime bool // back ends keep their names and tell when they were started
 	fleetOperators   []*fleetOperator
 	faults           int
-	needs            *rand.Rand // chances of back ends that name a limit
+	limitRandom      *rand.Rand // chances of back ends that name a limit
 	builds           *rand.Rand // chances of control processes that run two builds; nil where all run one
 	raised           raised
 	killed           int // runs that back ends of the fleet took along
