--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -37,7 +37,7 @@
 	if w.seed/32%4 != 3 {
 		return
 	}
-	w.builds = rand.New(rand.NewPCG(w.seed, buildStream))
+	w.buildRandom = rand.New(rand.NewPCG(w.seed, buildStream))
 	for at := firstFault; at < lastFault; at += replacedEach {
 		w.after(at, w.replaceControl)
 	}
@@ -45,7 +45,7 @@
 
 // replaceControl ends a control process that comes back as one of both builds.
 func (w *world) replaceControl() {
-	n := w.controls[w.builds.IntN(len(w.controls))]
+	n := w.controls[w.buildRandom.IntN(len(w.controls))]
 	if !n.up || n.frozen {
 		return
 	}
@@ -56,9 +56,9 @@
 // drawBuild returns the build that a control process starts as.
 func (w *world) drawBuild() level.Level {
 	switch {
-	case w.builds == nil:
+	case w.buildRandom == nil:
 		return level.Unannounced
-	case w.builds.Float64() < newBuildShare:
+	case w.buildRandom.Float64() < newBuildShare:
 		return newBuild
 	}
 	return level.Current
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -51,7 +51,7 @@
 	fleetOperators   []*fleetOperator
 	faults           int
 	limitRandom      *rand.Rand // chances of back ends that name a limit
-	builds           *rand.Rand // chances of control processes that run two builds; nil where all run one
+	buildRandom      *rand.Rand // chances of control processes that run two builds; nil where all run one
 	raised           raised
 	killed           int // runs that back ends of the fleet took along
 	mischief         mischief
