--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -64,8 +64,8 @@
 	life := b.id
 	b.kill(silent)
 	for _, g := range w.gateways {
-		w.killed++
-		runs := append([]quarantine.Fingerprint{{byte(w.killed), byte(w.killed >> 8), 'o'}}, ran...)
+		w.killedRuns++
+		runs := append([]quarantine.Fingerprint{{byte(w.killedRuns), byte(w.killedRuns >> 8), 'o'}}, ran...)
 		if w.chance(0.5) {
 			runs = append(runs, hotRequest)
 		}
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -53,7 +53,7 @@
 	limitRandom      *rand.Rand // chances of back ends that name a limit
 	buildRandom      *rand.Rand // chances of control processes that run two builds; nil where all run one
 	raised           raised
-	killed           int // runs that back ends of the fleet took along
+	killedRuns       int // runs that back ends of the fleet took along
 	mischief         mischief
 	history          *History // nil: not recorded
 	onAccept         []func() // run once, at the next accepted change
