--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -61,8 +61,8 @@
 	naming := o.fleet.namings[version]
 	naming.acked, naming.ackedAt = true, o.w.now()
 	o.fleet.namedAcked = max(o.fleet.namedAcked, version)
-	waiting := o.w.onNamed
-	o.w.onNamed = nil
+	waiting := o.w.onPublished
+	o.w.onPublished = nil
 	for _, run := range waiting {
 		run()
 	}
@@ -115,7 +115,7 @@
 	away := w.between(1500*time.Millisecond, 4*time.Second)
 	switch {
 	case leader == nil || late == leader || w.chance(0.4):
-		w.onNamed = append(w.onNamed, func() { w.after(w.between(0, away), w.restartAllControl) })
+		w.onPublished = append(w.onPublished, func() { w.after(w.between(0, away), w.restartAllControl) })
 	case w.chance(0.5):
 		w.after(away, w.cutZone(late.zone))
 		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.loseLeader(leader) })
@@ -125,7 +125,7 @@
 		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.loseLeader(leader) })
 	}
 	w.controlTrouble(2 * away)
-	w.onNamed = append(w.onNamed, func() {
+	w.onPublished = append(w.onPublished, func() {
 		for _, g := range w.gateways {
 			if w.chance(0.4) {
 				w.after(w.between(0, away), func() { g.kill(false) })
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -127,7 +127,7 @@
 	w.logf("all faults heal")
 	w.network.cut = map[[2]string]int{}
 	w.network.badUntil = 0
-	w.onAccept, w.onNamed = nil, nil
+	w.onAccept, w.onPublished = nil, nil
 	w.mischief = mischief{}
 	w.platform.omitted = map[string]bool{}
 	for _, n := range w.controls {
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -57,7 +57,7 @@
 	mischief         mischief
 	history          *History // nil: not recorded
 	onAccept         []func() // run once, at the next accepted change
-	onNamed          []func() // run once, when the next naming of weights is acknowledged
+	onPublished      []func() // run once, when the next naming of weights is acknowledged
 }
 
 // after schedules something that no process does.
