--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -337,7 +337,7 @@
 
 func (w *world) faultBadNetwork() {
 	length := w.between(time.Second, 8*time.Second)
-	w.network.badUntil = max(w.network.badUntil, w.now()+length)
+	w.network.degradedUntil = max(w.network.degradedUntil, w.now()+length)
 	w.network.lossShare = 0.02 + 0.2*w.random.Float64()
 	w.controlTrouble(length)
 }
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -14,16 +14,16 @@
 
 // network tells how messages travel.
 type network struct {
-	cut       map[[2]string]int // directed zone pairs that are cut, and how often
-	badUntil  time.Duration     // messages are lost, delayed, repeated and reordered until then
-	lossShare float64
+	cut           map[[2]string]int // directed zone pairs that are cut, and how often
+	degradedUntil time.Duration     // messages are lost, delayed, repeated and reordered until then
+	lossShare     float64
 }
 
 func (w *world) isCut(from, to *process) bool {
 	return w.network.cut[[2]string{from.zone, to.zone}] > 0
 }
 
-func (w *world) bad() bool { return w.now() < w.network.badUntil }
+func (w *world) bad() bool { return w.now() < w.network.degradedUntil }
 
 // latency draws the time of one way.
 func (w *world) latency(from, to *process) time.Duration {
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -126,7 +126,7 @@
 func (w *world) healAll() {
 	w.logf("all faults heal")
 	w.network.cut = map[[2]string]int{}
-	w.network.badUntil = 0
+	w.network.degradedUntil = 0
 	w.onAccept, w.onPublished = nil, nil
 	w.mischief = mischief{}
 	w.platform.omitted = map[string]bool{}
