--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -338,7 +338,7 @@
 func (w *world) faultBadNetwork() {
 	length := w.between(time.Second, 8*time.Second)
 	w.network.degradedUntil = max(w.network.degradedUntil, w.now()+length)
-	w.network.lossShare = 0.02 + 0.2*w.random.Float64()
+	w.network.lossRatio = 0.02 + 0.2*w.random.Float64()
 	w.controlTrouble(length)
 }
 
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -16,7 +16,7 @@
 type network struct {
 	cut           map[[2]string]int // directed zone pairs that are cut, and how often
 	degradedUntil time.Duration     // messages are lost, delayed, repeated and reordered until then
-	lossShare     float64
+	lossRatio     float64
 }
 
 func (w *world) isCut(from, to *process) bool {
@@ -40,7 +40,7 @@
 
 // lost draws whether a message is lost.
 func (w *world) lost(from, to *process) bool {
-	return w.isCut(from, to) || (w.bad() && w.chance(w.network.lossShare))
+	return w.isCut(from, to) || (w.bad() && w.chance(w.network.lossRatio))
 }
 
 // message sends something that may be lost, repeated or reordered.
