--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	callerZone    = "callers"  // callers reach every zone
-	platformZone  = "platform" // and so does the machine list
-	refusalDelay  = 2 * time.Millisecond
-	resendPeriod  = 100 * time.Millisecond
-	localLatency  = 200 * time.Microsecond
-	zoneLatency   = 1500 * time.Microsecond
-	callLossRatio = 0.001 // share of calls whose connection dies in a network without faults
+	callerZone     = "callers"  // callers reach every zone
+	platformZone   = "platform" // and so does the machine list
+	refusalDelay   = 2 * time.Millisecond
+	resendInterval = 100 * time.Millisecond
+	localLatency   = 200 * time.Microsecond
+	zoneLatency    = 1500 * time.Microsecond
+	callLossRatio  = 0.001 // share of calls whose connection dies in a network without faults
 )
 
 // network tells how messages travel.
@@ -135,7 +135,7 @@
 
 func (s *stream) flush() {
 	if s.w.isCut(s.from, s.to) {
-		s.w.after(resendPeriod, s.flush)
+		s.w.after(resendInterval, s.flush)
 		return
 	}
 	for _, arrive := range s.waiting {
