--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -117,7 +117,7 @@
 	from, to *process
 	toLife   int
 	fromLife int
-	waiting  []func()
+	unsent   []func()
 	arriveBy time.Duration
 	closed   bool
 }
@@ -127,8 +127,8 @@
 }
 
 func (s *stream) send(arrive func()) {
-	s.waiting = append(s.waiting, arrive)
-	if len(s.waiting) == 1 {
+	s.unsent = append(s.unsent, arrive)
+	if len(s.unsent) == 1 {
 		s.flush()
 	}
 }
@@ -138,7 +138,7 @@
 		s.w.after(resendInterval, s.flush)
 		return
 	}
-	for _, arrive := range s.waiting {
+	for _, arrive := range s.unsent {
 		at := max(s.arriveBy, s.w.now()+s.w.latency(s.from, s.to))
 		s.arriveBy = at
 		s.w.after(at-s.w.now(), func() {
@@ -147,5 +147,5 @@
 			}
 		})
 	}
-	s.waiting = nil
+	s.unsent = nil
 }
