--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -113,13 +113,13 @@
 
 // stream is an ordered connection. Messages wait while the zones are cut from each other, as TCP would have them.
 type stream struct {
-	w        *world
-	from, to *process
-	toLife   int
-	fromLife int
-	unsent   []func()
-	arriveBy time.Duration
-	closed   bool
+	w           *world
+	from, to    *process
+	toLife      int
+	fromLife    int
+	unsent      []func()
+	lastArrival time.Duration
+	closed      bool
 }
 
 func (w *world) newStream(from, to *process) *stream {
@@ -139,8 +139,8 @@
 		return
 	}
 	for _, arrive := range s.unsent {
-		at := max(s.arriveBy, s.w.now()+s.w.latency(s.from, s.to))
-		s.arriveBy = at
+		at := max(s.lastArrival, s.w.now()+s.w.latency(s.from, s.to))
+		s.lastArrival = at
 		s.w.after(at-s.w.now(), func() {
 			if !s.closed {
 				s.to.run(s.toLife, arrive)
