--- a/internal/lab/sim/platform.go
+++ b/internal/lab/sim/platform.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	platformPeriod = 250 * time.Millisecond
-	platformLag    = 800 * time.Millisecond // how old a reading is
-	readingsKept   = 8
+	platformInterval = 250 * time.Millisecond
+	platformLag      = 800 * time.Millisecond // how old a reading is
+	readingsKept     = 8
 )
 
 // platform is the machine list, which lags and is sometimes wrong.
@@ -23,7 +23,7 @@
 	p.start()
 	p.omitted = map[string]bool{}
 	p.sample()
-	p.ticker(platformPeriod, p.sample)
+	p.ticker(platformInterval, p.sample)
 }
 
 // sample records the truth, apart from what the list gets wrong.
@@ -48,7 +48,7 @@
 
 // list returns the reading that is platformLag old.
 func (p *platform) list() []core.Machine {
-	at := max(0, len(p.readings)-1-int(platformLag/platformPeriod))
+	at := max(0, len(p.readings)-1-int(platformLag/platformInterval))
 	return p.readings[at]
 }
 
