--- a/internal/lab/sim/platform.go
+++ b/internal/lab/sim/platform.go
@@ -9,7 +9,7 @@
 const (
 	platformInterval = 250 * time.Millisecond
 	platformLag      = 800 * time.Millisecond // how old a reading is
-	readingsKept     = 8
+	maxReadings      = 8
 )
 
 // platform is the machine list, which lags and is sometimes wrong.
@@ -41,7 +41,7 @@
 		add(s.process, smallService, s.drainingSince > 0)
 	}
 	p.readings = append(p.readings, machines)
-	if len(p.readings) > readingsKept {
+	if len(p.readings) > maxReadings {
 		p.readings = p.readings[1:]
 	}
 }
