--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	firstFault    = 6 * time.Second
-	lastFault     = 84 * time.Second
-	fewestFaults  = 4
-	mostFaults    = 10
-	followUpRatio = 0.35
-	pairWithin    = 2 * time.Second
+	firstFault       = 6 * time.Second
+	lastFault        = 84 * time.Second
+	fewestFaults     = 4
+	mostFaults       = 10
+	followUpRatio    = 0.35
+	followUpMaxDelay = 2 * time.Second
 )
 
 // fault is one kind of failure. It heals by itself.
@@ -68,7 +68,7 @@
 		at := w.between(firstFault, lastFault)
 		w.planFault(at)
 		if w.chance(followUpRatio) {
-			w.planFault(at + w.between(0, pairWithin))
+			w.planFault(at + w.between(0, followUpMaxDelay))
 		}
 	}
 }
