--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -6,7 +6,7 @@
 	firstFault       = 6 * time.Second
 	lastFault        = 84 * time.Second
 	minFaults        = 4
-	mostFaults       = 10
+	maxFaults        = 10
 	followUpRatio    = 0.35
 	followUpMaxDelay = 2 * time.Second
 )
@@ -64,7 +64,7 @@
 
 // planFaults draws the faults of a run.
 func (w *world) planFaults() {
-	for range minFaults + w.random.IntN(mostFaults-minFaults+1) {
+	for range minFaults + w.random.IntN(maxFaults-minFaults+1) {
 		at := w.between(firstFault, lastFault)
 		w.planFault(at)
 		if w.chance(followUpRatio) {
