--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -17,8 +17,8 @@
 	run  func(*world)
 }
 
-// catalogue lists every fault, in the order of "What fails" and of the pairs that are hard.
-var catalogue = []fault{
+// faultKinds lists every fault, in the order of "What fails" and of the pairs that are hard.
+var faultKinds = []fault{
 	{"kill router", (*world).faultKillRouter},
 	{"freeze router", (*world).faultFreezeRouter},
 	{"planned stop of a router", (*world).faultStopRouter},
@@ -74,7 +74,7 @@
 }
 
 func (w *world) planFault(at time.Duration) {
-	drawn := pick(w, catalogue)
+	drawn := pick(w, faultKinds)
 	w.after(at, func() {
 		w.faults++
 		w.logf("FAULT %s", drawn.name)
