--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -35,7 +35,7 @@
 	{"kill engine", (*world).faultKillEngine},
 	{"kill engines in a row", (*world).faultKillEngines},
 	{"freeze engine", (*world).faultFreezeEngine},
-	{"leaving engine", (*world).faultLeaveEngine},
+	{"leaving engine", (*world).faultDrainEngine},
 	{"leaving service", (*world).faultLeaveService},
 	{"kill service", (*world).faultKillService},
 	{"misbehaving streams", (*world).faultStreams},
--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -50,7 +50,7 @@
 	w.after(w.between(300*time.Millisecond, 6*time.Second), e.thaw)
 }
 
-func (w *world) faultLeaveEngine() {
+func (w *world) faultDrainEngine() {
 	e := pick(w, w.engines)
 	w.leave(e.process, e)
 }
