--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -36,7 +36,7 @@
 	{"kill engines in a row", (*world).faultKillEngines},
 	{"freeze engine", (*world).faultFreezeEngine},
 	{"leaving engine", (*world).faultDrainEngine},
-	{"leaving service", (*world).faultLeaveService},
+	{"leaving service", (*world).faultDrainService},
 	{"kill service", (*world).faultKillService},
 	{"misbehaving streams", (*world).faultStreams},
 	{"services that drop connections", (*world).faultServices},
--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -55,7 +55,7 @@
 	w.leave(e.process, e)
 }
 
-func (w *world) faultLeaveService() {
+func (w *world) faultDrainService() {
 	s := pick(w, w.services)
 	w.leave(s.process, s)
 }
