--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -27,8 +27,8 @@
 // hotRequest ends well wherever it isn't cut off by the end of its back end.
 var hotRequest = quarantine.Fingerprint{0, 'h', 'o', 't'}
 
-// faultDeadlyRequest lets a request come again and again that ends each back end that begins to run it.
-func (w *world) faultDeadlyRequest() {
+// faultFatalRequest lets a request come again and again that ends each back end that begins to run it.
+func (w *world) faultFatalRequest() {
 	w.oracle.deadlies++
 	f := quarantine.Fingerprint{byte(w.oracle.deadlies), 'd'}
 	until := min(w.now()+deadlyLength, activeTime)
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -52,7 +52,7 @@
 	{"routers frozen in claims, one after the other", (*world).faultClaimFreezes},
 	{"process of the gateway fleet killed or frozen", (*world).fleetFault},
 	{"process of the gateway fleet killed or frozen, again", (*world).fleetFault},
-	{"request that ends whoever runs it", (*world).faultDeadlyRequest},
+	{"request that ends whoever runs it", (*world).faultFatalRequest},
 	{"suspended control replica", (*world).faultSuspendControl},
 	{"suspended gateway or router", (*world).faultSuspendGateway},
 	{"stalled disk", (*world).faultStallDisk},
