--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// restFree is how long after its wish for rest a back end may get requests that were on their way, and restMost how many more until the
+	// backoffGrace is how long after its wish for rest a back end may get requests that were on their way, and restMost how many more until the
 	// rest ends.
-	restFree = 500 * time.Millisecond
-	restMost = 2
+	backoffGrace = 500 * time.Millisecond
+	restMost     = 2
 	// leaveFree is how long after a back end said in an answer that it leaves it may get what was on its way.
 	leaveFree = 500 * time.Millisecond
 	// shedAllShare is the share of faults in which all back ends of a service turn requests away together.
@@ -80,7 +80,7 @@
 	now := o.w.now()
 	if said.Backoff > 0 {
 		end := now + time.Duration(float64(said.Backoff)/(1+clockSkew))
-		o.said.rests[p] = append(o.said.rests[p], &restWindow{from: now + restFree, until: end})
+		o.said.rests[p] = append(o.said.rests[p], &restWindow{from: now + backoffGrace, until: end})
 	}
 	if _, known := o.said.left[p]; said.Draining && !known {
 		o.said.left[p] = now
