--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -13,8 +13,8 @@
 const (
 	// backoffGrace is how long after its wish for rest a back end may get requests that were on their way, and restMost how many more until the
 	// rest ends.
-	backoffGrace = 500 * time.Millisecond
-	restMost     = 2
+	backoffGrace       = 500 * time.Millisecond
+	maxBackoffRequests = 2
 	// leaveFree is how long after a back end said in an answer that it leaves it may get what was on its way.
 	leaveFree = 500 * time.Millisecond
 	// shedAllShare is the share of faults in which all back ends of a service turn requests away together.
@@ -94,7 +94,7 @@
 		if now <= window.from || now >= window.until {
 			continue
 		}
-		if window.got++; window.got > restMost {
+		if window.got++; window.got > maxBackoffRequests {
 			o.fail(RestGiven, "%s sent %s %d requests in a rest that ends in %v", p.sender, p.backend, window.got, window.until-now)
 		}
 	}
