--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -15,8 +15,8 @@
 	// rest ends.
 	backoffGrace       = 500 * time.Millisecond
 	maxBackoffRequests = 2
-	// leaveFree is how long after a back end said in an answer that it leaves it may get what was on its way.
-	leaveFree = 500 * time.Millisecond
+	// drainGrace is how long after a back end said in an answer that it leaves it may get what was on its way.
+	drainGrace = 500 * time.Millisecond
 	// shedAllShare is the share of faults in which all back ends of a service turn requests away together.
 	shedAllShare = 0.3
 )
@@ -98,7 +98,7 @@
 			o.fail(RestGiven, "%s sent %s %d requests in a rest that ends in %v", p.sender, p.backend, window.got, window.until-now)
 		}
 	}
-	if at, left := o.said.left[p]; left && now > at+leaveFree {
+	if at, left := o.said.left[p]; left && now > at+drainGrace {
 		o.fail(LeavingNoWork, "%s sent new work to %s %v after that one had said that it leaves", p.sender, p.backend, now-at)
 	}
 }
