--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -17,8 +17,8 @@
 	maxBackoffRequests = 2
 	// drainGrace is how long after a back end said in an answer that it leaves it may get what was on its way.
 	drainGrace = 500 * time.Millisecond
-	// shedAllShare is the share of faults in which all back ends of a service turn requests away together.
-	shedAllShare = 0.3
+	// rejectAllRatio is the share of faults in which all back ends of a service turn requests away together.
+	rejectAllRatio = 0.3
 )
 
 // shedding is a back end's refusal of all that comes, with a wish for rest.
@@ -30,7 +30,7 @@
 // faultShed lets back ends turn requests away for a while and ask for rest.
 func (w *world) faultShed() {
 	until, rest := w.now()+w.between(time.Second, 6*time.Second), w.between(time.Second, 5*time.Second)
-	all := w.chance(shedAllShare)
+	all := w.chance(rejectAllRatio)
 	struckEngine, struckBackend := pick(w, w.engines), pick(w, w.backends)
 	for _, e := range w.engines {
 		if all || e == struckEngine {
