--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -21,8 +21,8 @@
 	rejectAllRatio = 0.3
 )
 
-// shedding is a back end's refusal of all that comes, with a wish for rest.
-type shedding struct {
+// rejection is a back end's refusal of all that comes, with a wish for rest.
+type rejection struct {
 	until time.Duration
 	rest  time.Duration
 }
@@ -34,18 +34,18 @@
 	struckEngine, struckBackend := pick(w, w.engines), pick(w, w.backends)
 	for _, e := range w.engines {
 		if all || e == struckEngine {
-			e.shed = shedding{until, rest}
+			e.shed = rejection{until, rest}
 		}
 	}
 	for _, b := range w.backends {
 		if all || b == struckBackend {
-			b.shed = shedding{until, rest}
+			b.shed = rejection{until, rest}
 		}
 	}
 }
 
 // sheds returns for how long a back end wants rest, or 0 when it takes requests.
-func (s shedding) sheds(now time.Duration) time.Duration {
+func (s rejection) sheds(now time.Duration) time.Duration {
 	if now < s.until {
 		return s.rest
 	}
