--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -23,8 +23,8 @@
 
 // rejection is a back end's refusal of all that comes, with a wish for rest.
 type rejection struct {
-	until time.Duration
-	rest  time.Duration
+	until   time.Duration
+	backoff time.Duration
 }
 
 // faultShed lets back ends turn requests away for a while and ask for rest.
@@ -47,7 +47,7 @@
 // sheds returns for how long a back end wants rest, or 0 when it takes requests.
 func (s rejection) sheds(now time.Duration) time.Duration {
 	if now < s.until {
-		return s.rest
+		return s.backoff
 	}
 	return 0
 }
