--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -62,7 +62,7 @@
 // restWindow is the part of one rest in which requests count.
 type restWindow struct {
 	from, until time.Duration
-	got         int
+	requests    int
 }
 
 // saidOracle is what back ends were heard to say of themselves.
@@ -94,8 +94,8 @@
 		if now <= window.from || now >= window.until {
 			continue
 		}
-		if window.got++; window.got > maxBackoffRequests {
-			o.fail(RestGiven, "%s sent %s %d requests in a rest that ends in %v", p.sender, p.backend, window.got, window.until-now)
+		if window.requests++; window.requests > maxBackoffRequests {
+			o.fail(RestGiven, "%s sent %s %d requests in a rest that ends in %v", p.sender, p.backend, window.requests, window.until-now)
 		}
 	}
 	if at, left := o.said.left[p]; left && now > at+drainGrace {
