--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -67,12 +67,12 @@
 
 // saidOracle is what back ends were heard to say of themselves.
 type saidOracle struct {
-	rests map[pair][]*restWindow
-	left  map[pair]time.Duration // when it was first heard that the back end leaves
+	backoffs map[pair][]*restWindow
+	left     map[pair]time.Duration // when it was first heard that the back end leaves
 }
 
 func newSaidOracle() saidOracle {
-	return saidOracle{rests: map[pair][]*restWindow{}, left: map[pair]time.Duration{}}
+	return saidOracle{backoffs: map[pair][]*restWindow{}, left: map[pair]time.Duration{}}
 }
 
 // heard notes that a process has an answer in which a back end speaks of itself. Its clock may run fast.
@@ -80,7 +80,7 @@
 	now := o.w.now()
 	if said.Backoff > 0 {
 		end := now + time.Duration(float64(said.Backoff)/(1+clockSkew))
-		o.said.rests[p] = append(o.said.rests[p], &restWindow{from: now + backoffGrace, until: end})
+		o.said.backoffs[p] = append(o.said.backoffs[p], &restWindow{from: now + backoffGrace, until: end})
 	}
 	if _, known := o.said.left[p]; said.Draining && !known {
 		o.said.left[p] = now
@@ -90,7 +90,7 @@
 // sends checks a request at the moment it is sent.
 func (o *oracle) sends(p pair) {
 	now := o.w.now()
-	for _, window := range o.said.rests[p] {
+	for _, window := range o.said.backoffs[p] {
 		if now <= window.from || now >= window.until {
 			continue
 		}
