--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -67,12 +67,12 @@
 
 // saidOracle is what back ends were heard to say of themselves.
 type saidOracle struct {
-	backoffs map[pair][]*restWindow
-	left     map[pair]time.Duration // when it was first heard that the back end leaves
+	backoffs      map[pair][]*restWindow
+	drainingSince map[pair]time.Duration // when it was first heard that the back end leaves
 }
 
 func newSaidOracle() saidOracle {
-	return saidOracle{backoffs: map[pair][]*restWindow{}, left: map[pair]time.Duration{}}
+	return saidOracle{backoffs: map[pair][]*restWindow{}, drainingSince: map[pair]time.Duration{}}
 }
 
 // heard notes that a process has an answer in which a back end speaks of itself. Its clock may run fast.
@@ -82,8 +82,8 @@
 		end := now + time.Duration(float64(said.Backoff)/(1+clockSkew))
 		o.said.backoffs[p] = append(o.said.backoffs[p], &restWindow{from: now + backoffGrace, until: end})
 	}
-	if _, known := o.said.left[p]; said.Draining && !known {
-		o.said.left[p] = now
+	if _, known := o.said.drainingSince[p]; said.Draining && !known {
+		o.said.drainingSince[p] = now
 	}
 }
 
@@ -98,7 +98,7 @@
 			o.fail(RestGiven, "%s sent %s %d requests in a rest that ends in %v", p.sender, p.backend, window.requests, window.until-now)
 		}
 	}
-	if at, left := o.said.left[p]; left && now > at+drainGrace {
+	if at, left := o.said.drainingSince[p]; left && now > at+drainGrace {
 		o.fail(LeavingNoWork, "%s sent new work to %s %v after that one had said that it leaves", p.sender, p.backend, now-at)
 	}
 }
