--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// namedFrom is how long after it was first named it must hold, and namedHeard how long after a process heard of it what that one sends counts.
-	namedFrom  = 3 * time.Second
+	// limitGrace is how long after it was first named it must hold, and namedHeard how long after a process heard of it what that one sends counts.
+	limitGrace = 3 * time.Second
 	namedHeard = 500 * time.Millisecond
 	// namedSettle is how long a limit from before may still count that has changed.
 	namedSettle = time.Second
@@ -130,7 +130,7 @@
 	}
 	life.sends = window.Add(life.sends, now)
 	allowed := window.Allowed(n.highest(now-window.Length-namedSettle, now))
-	if now >= n.from+namedFrom && float64(len(life.sends)) > allowed {
+	if now >= n.from+limitGrace && float64(len(life.sends)) > allowed {
 		o.fail(LimitKept, "%s got %d requests in %v from processes that had heard its limit, %.1f allowed, the last from %s", p.backend, len(life.sends), window.Length, allowed, p.sender)
 	}
 }
