--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -17,8 +17,8 @@
 
 const (
 	// limitGrace is how long after it was first named it must hold, and namedHeard how long after a process heard of it what that one sends counts.
-	limitGrace = 3 * time.Second
-	namedHeard = 500 * time.Millisecond
+	limitGrace      = 3 * time.Second
+	limitLearnDelay = 500 * time.Millisecond
 	// namedSettle is how long a limit from before may still count that has changed.
 	namedSettle = time.Second
 	// needsMost bounds how often back ends are in need in one run; needAllShare is how often all of them are together, and needChangeShare how
@@ -125,7 +125,7 @@
 		return
 	}
 	life := o.limits.of(p.backend, n)
-	if heard, known := life.heard[p.sender]; !known || now < heard+namedHeard {
+	if heard, known := life.heard[p.sender]; !known || now < heard+limitLearnDelay {
 		return
 	}
 	life.sends = window.Add(life.sends, now)
