--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -19,8 +19,8 @@
 	// limitGrace is how long after it was first named it must hold, and namedHeard how long after a process heard of it what that one sends counts.
 	limitGrace      = 3 * time.Second
 	limitLearnDelay = 500 * time.Millisecond
-	// namedSettle is how long a limit from before may still count that has changed.
-	namedSettle = time.Second
+	// limitChangeGrace is how long a limit from before may still count that has changed.
+	limitChangeGrace = time.Second
 	// needsMost bounds how often back ends are in need in one run; needAllShare is how often all of them are together, and needChangeShare how
 	// often the limit changes meanwhile.
 	needsMost       = 3
@@ -129,7 +129,7 @@
 		return
 	}
 	life.sends = window.Add(life.sends, now)
-	allowed := window.Allowed(n.highest(now-window.Length-namedSettle, now))
+	allowed := window.Allowed(n.highest(now-window.Length-limitChangeGrace, now))
 	if now >= n.from+limitGrace && float64(len(life.sends)) > allowed {
 		o.fail(LimitKept, "%s got %d requests in %v from processes that had heard its limit, %.1f allowed, the last from %s", p.backend, len(life.sends), window.Length, allowed, p.sender)
 	}
