--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -21,9 +21,9 @@
 	limitLearnDelay = 500 * time.Millisecond
 	// limitChangeGrace is how long a limit from before may still count that has changed.
 	limitChangeGrace = time.Second
-	// needsMost bounds how often back ends are in need in one run; needAllShare is how often all of them are together, and needChangeShare how
+	// maxLimitPeriods bounds how often back ends are in need in one run; needAllShare is how often all of them are together, and needChangeShare how
 	// often the limit changes meanwhile.
-	needsMost       = 3
+	maxLimitPeriods = 3
 	needAllShare    = 0.4
 	needChangeShare = 0.5
 	needStream      = 17
@@ -64,7 +64,7 @@
 	if w.seed/4%2 == 0 {
 		return
 	}
-	for range 1 + w.limitRandom.IntN(needsMost) {
+	for range 1 + w.limitRandom.IntN(maxLimitPeriods) {
 		at := firstFault + time.Duration(w.limitRandom.Int64N(int64(lastFault-firstFault)))
 		w.after(at, w.beginNeed)
 	}
