--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -24,7 +24,7 @@
 	// maxLimitPeriods bounds how often back ends are in need in one run; needAllShare is how often all of them are together, and needChangeShare how
 	// often the limit changes meanwhile.
 	maxLimitPeriods = 3
-	needAllShare    = 0.4
+	allLimitedRatio = 0.4
 	needChangeShare = 0.5
 	needStream      = 17
 )
@@ -78,7 +78,7 @@
 	if w.limitRandom.Float64() < needChangeShare {
 		made.later = 6 * w.limitRandom.Float64()
 	}
-	all := w.limitRandom.Float64() < needAllShare
+	all := w.limitRandom.Float64() < allLimitedRatio
 	engine, backend := w.limitRandom.IntN(len(w.engines)), w.limitRandom.IntN(len(w.backends))
 	w.logf("FAULT back ends name a limit of %.2f, then %.2f, until %v; all: %v", made.rate, made.later, made.until, all)
 	for i, e := range w.engines {
