--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -23,10 +23,10 @@
 	limitChangeGrace = time.Second
 	// maxLimitPeriods bounds how often back ends are in need in one run; needAllShare is how often all of them are together, and needChangeShare how
 	// often the limit changes meanwhile.
-	maxLimitPeriods = 3
-	allLimitedRatio = 0.4
-	needChangeShare = 0.5
-	needStream      = 17
+	maxLimitPeriods  = 3
+	allLimitedRatio  = 0.4
+	limitChangeRatio = 0.5
+	needStream       = 17
 )
 
 // need is a time in which a back end names a limit. Its zero value is none.
@@ -75,7 +75,7 @@
 	now := w.now()
 	made := need{from: now, until: now + 6*time.Second + time.Duration(w.limitRandom.Int64N(int64(14*time.Second))), rate: 6 * w.limitRandom.Float64()}
 	made.later = made.rate
-	if w.limitRandom.Float64() < needChangeShare {
+	if w.limitRandom.Float64() < limitChangeRatio {
 		made.later = 6 * w.limitRandom.Float64()
 	}
 	all := w.limitRandom.Float64() < allLimitedRatio
