--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -26,7 +26,7 @@
 	maxLimitPeriods  = 3
 	allLimitedRatio  = 0.4
 	limitChangeRatio = 0.5
-	needStream       = 17
+	limitStream      = 17
 )
 
 // need is a time in which a back end names a limit. Its zero value is none.
@@ -60,7 +60,7 @@
 
 // planNeeds lets back ends be in need in half of all runs. Its chances are its own, so that the other runs are as they were without it.
 func (w *world) planNeeds() {
-	w.limitRandom = rand.New(rand.NewPCG(w.seed, needStream))
+	w.limitRandom = rand.New(rand.NewPCG(w.seed, limitStream))
 	if w.seed/4%2 == 0 {
 		return
 	}
