--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -44,7 +44,7 @@
 	alarm   vtime.Alarm
 	cached  map[prefix.Hash]content
 	shed    rejection
-	need    need
+	need    limitPeriod
 	ordered control.Fence // highest order it ever began to carry out, over all lives
 }
 
@@ -73,7 +73,7 @@
 func (e *engineNode) boot() {
 	e.start()
 	e.lives++
-	e.cached, e.shed, e.need = map[prefix.Hash]content{}, rejection{}, need{}
+	e.cached, e.shed, e.need = map[prefix.Hash]content{}, rejection{}, limitPeriod{}
 	weights := "w1"
 	if e.model != nil {
 		weights = e.model.Weights // they stay on the machine
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -29,14 +29,14 @@
 	limitStream      = 17
 )
 
-// need is a time in which a back end names a limit. Its zero value is none.
-type need struct {
+// limitPeriod is a time in which a back end names a limit. Its zero value is none.
+type limitPeriod struct {
 	from, until time.Duration
 	rate, later float64 // requests a second, from the start and from half of the time on
 }
 
 // limit returns what the back end names now.
-func (n need) limit(now time.Duration) pushback.Limit {
+func (n limitPeriod) limit(now time.Duration) pushback.Limit {
 	switch {
 	case now < n.from || now >= n.until:
 		return pushback.Limit{}
@@ -47,7 +47,7 @@
 }
 
 // highest returns the highest limit that was named between two times.
-func (n need) highest(from, to time.Duration) float64 {
+func (n limitPeriod) highest(from, to time.Duration) float64 {
 	half := (n.from + n.until) / 2
 	switch {
 	case to < half:
@@ -73,7 +73,7 @@
 // beginNeed lets one engine and one back end of the fleet, or all of them, name a limit for a while.
 func (w *world) beginNeed() {
 	now := w.now()
-	made := need{from: now, until: now + 6*time.Second + time.Duration(w.limitRandom.Int64N(int64(14*time.Second))), rate: 6 * w.limitRandom.Float64()}
+	made := limitPeriod{from: now, until: now + 6*time.Second + time.Duration(w.limitRandom.Int64N(int64(14*time.Second))), rate: 6 * w.limitRandom.Float64()}
 	made.later = made.rate
 	if w.limitRandom.Float64() < limitChangeRatio {
 		made.later = 6 * w.limitRandom.Float64()
@@ -102,7 +102,7 @@
 // limitOracle is what back ends in need got. Its keys name a life and the start of its need.
 type limitOracle map[string]*limitedLife
 
-func (l limitOracle) of(life string, n need) *limitedLife {
+func (l limitOracle) of(life string, n limitPeriod) *limitedLife {
 	key := fmt.Sprint(life, n.from)
 	if l[key] == nil {
 		l[key] = &limitedLife{heard: map[string]time.Duration{}}
@@ -111,7 +111,7 @@
 }
 
 // heardLimit notes that a process has an answer in which a back end names its limit.
-func (o *oracle) heardLimit(p pair, n need) {
+func (o *oracle) heardLimit(p pair, n limitPeriod) {
 	life := o.limits.of(p.backend, n)
 	if _, known := life.heard[p.sender]; !known {
 		life.heard[p.sender] = o.w.now()
@@ -119,7 +119,7 @@
 }
 
 // sendsLimited checks a request at the moment it is sent to a back end.
-func (o *oracle) sendsLimited(p pair, n need) {
+func (o *oracle) sendsLimited(p pair, n limitPeriod) {
 	now := o.w.now()
 	if !n.limit(now).Advertised {
 		return
