--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -102,18 +102,18 @@
 // fleetBackend registers itself, takes orders, drains, leaves, and comes back as another life at its address.
 type fleetBackend struct {
 	*process
-	asker    *asker
-	lives    int
-	id       string
-	sequence uint64
-	draining bool
-	version  uint64
-	loadsTo  time.Duration
-	revision uint64 // orders taken in this life
-	fence    uint64
-	shed     rejection
-	need     limitPeriod
-	told     string // what a heartbeat told that the leader has taken
+	asker      *asker
+	lives      int
+	id         string
+	sequence   uint64
+	draining   bool
+	version    uint64
+	loadsTo    time.Duration
+	revision   uint64 // orders taken in this life
+	fence      uint64
+	shed       rejection
+	advertised limitPeriod
+	told       string // what a heartbeat told that the leader has taken
 }
 
 func (b *fleetBackend) boot() {
@@ -122,7 +122,7 @@
 	b.lives++
 	b.id = b.nextID()
 	b.sequence, b.draining, b.loadsTo, b.revision, b.fence, b.told = 0, false, 0, 0, 0, ""
-	b.shed, b.need = rejection{}, limitPeriod{}
+	b.shed, b.advertised = rejection{}, limitPeriod{}
 	b.version = max(b.version, 1)
 	if b.version > 1 && b.w.chance(fleetOlder) {
 		b.version-- // it kept older weights than it was last seen with
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -88,7 +88,7 @@
 	}
 	for i, b := range w.backends {
 		if all || i == backend {
-			b.need = made
+			b.advertised = made
 		}
 	}
 }
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -112,11 +112,11 @@
 // hear takes up what a back end says of itself in the answer to a request that was sent at a time. The gateway knows only whom it meant to ask,
 // not which life answered.
 func (g *fleetGateway) hear(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (turnedAway bool) {
-	said := pushback.Signals{Backoff: b.shed.sheds(g.w.now()), Draining: b.draining, Limit: b.need.limit(g.w.now())}
+	said := pushback.Signals{Backoff: b.shed.sheds(g.w.now()), Draining: b.draining, Limit: b.advertised.limit(g.w.now())}
 	g.w.oracle.heard(pairOf(g.process, b.id), said)
 	g.pushed.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), said, g.w.random.Float64())
 	if said.Limit.Advertised {
-		g.w.oracle.heardLimit(pairOf(g.process, b.id), b.need)
+		g.w.oracle.heardLimit(pairOf(g.process, b.id), b.advertised)
 	} else {
 		g.pushed.ObserveNoLimit(g.clock(), sent, catalog.ParseInstanceID(entry.ID))
 	}
