--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -39,13 +39,13 @@
 // engineNode is a model engine. cached is the oracle's record of what each block of this life really holds.
 type engineNode struct {
 	*process
-	model   *engine.Model
-	lives   uint64
-	alarm   vtime.Alarm
-	cached  map[prefix.Hash]content
-	shed    rejection
-	need    limitPeriod
-	ordered control.Fence // highest order it ever began to carry out, over all lives
+	model      *engine.Model
+	lives      uint64
+	alarm      vtime.Alarm
+	cached     map[prefix.Hash]content
+	shed       rejection
+	advertised limitPeriod
+	ordered    control.Fence // highest order it ever began to carry out, over all lives
 }
 
 // sending joins a job of the model to the attempt that waits for it.
@@ -73,7 +73,7 @@
 func (e *engineNode) boot() {
 	e.start()
 	e.lives++
-	e.cached, e.shed, e.need = map[prefix.Hash]content{}, rejection{}, limitPeriod{}
+	e.cached, e.shed, e.advertised = map[prefix.Hash]content{}, rejection{}, limitPeriod{}
 	weights := "w1"
 	if e.model != nil {
 		weights = e.model.Weights // they stay on the machine
@@ -129,7 +129,7 @@
 	event := core.EventAttempt{Echo: s.attempt, Index: output.Index, Cached: output.Cached}
 	switch output.Kind {
 	case engine.OutputStarted:
-		event.Kind, event.Incarnation, event.AdvertisesLimit = core.AttemptStarted, e.model.Incarnation, e.need.limit(e.w.now()).Advertised
+		event.Kind, event.Incarnation, event.AdvertisesLimit = core.AttemptStarted, e.model.Incarnation, e.advertised.limit(e.w.now()).Advertised
 	case engine.OutputToken:
 		event.Kind, event.Text = core.AttemptChunk, s.request.job.token(output.Index)
 	case engine.OutputDone:
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -83,7 +83,7 @@
 	w.logf("FAULT back ends name a limit of %.2f, then %.2f, until %v; all: %v", made.rate, made.later, made.until, all)
 	for i, e := range w.engines {
 		if all || i == engine {
-			e.need = made
+			e.advertised = made
 		}
 	}
 	for i, b := range w.backends {
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -237,7 +237,7 @@
 	s := &sending{engine: e, request: run, attempt: action.Attempt, router: r, stream: r.w.newStream(e.process, r.process)}
 	r.sendings[action.Attempt] = s
 	r.w.oracle.sends(pairOf(r.process, e.lifeName()))
-	r.w.oracle.sendsLimited(pairOf(r.process, e.lifeName()), e.need)
+	r.w.oracle.sendsLimited(pairOf(r.process, e.lifeName()), e.advertised)
 	r.w.call(r.process, e.process, serviceLimit, func(respond func(func())) {
 		life := e.lives // that speaks, whichever was meant
 		if rest := e.shed.sheds(e.w.now()); rest > 0 {
@@ -250,7 +250,7 @@
 			return
 		}
 		result := e.submit(action, s)
-		inNeed, limit, asker := e.need, e.need.limit(e.w.now()), pairOf(r.process, e.lifeName())
+		inNeed, limit, asker := e.advertised, e.advertised.limit(e.w.now()), pairOf(r.process, e.lifeName())
 		respond(func() {
 			if limit.Advertised {
 				r.w.oracle.heardLimit(asker, inNeed)
