--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -19,7 +19,7 @@
 	fleetBackends  = 4
 	fleetGateways  = 3
 	fleetOperators = 2
-	fleetTrust     = 2 * time.Second
+	fleetViewTTL   = 2 * time.Second
 	fleetOrderWait = 2500 * time.Millisecond
 	fleetHold      = 300 * time.Millisecond
 	fleetBeat      = 500 * time.Millisecond
@@ -299,7 +299,7 @@
 	g.asker = newAsker(g.w, g.process)
 	g.revision, g.version, g.roster, g.confirmed, g.record = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
 	g.namings, g.pushed = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
-	g.borrower, g.asking = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetTrust), false
+	g.borrower, g.asking = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetViewTTL), false
 	g.lender = &asker{w: g.w, from: g.process}
 	g.w.oracle.fleet.told[g.process.name] = map[uint64]time.Duration{}
 	g.w.oracle.fleet.used[g.process.name] = 0
@@ -340,7 +340,7 @@
 		g.roster = reply.Roster.Merge(g.roster)
 	}
 	if g.confirmed > 0 {
-		g.record.RecordIdle(g.clock(), g.clock()-g.confirmed-fleetTrust)
+		g.record.RecordIdle(g.clock(), g.clock()-g.confirmed-fleetViewTTL)
 	}
 	g.takeQuarantine(reply, before)
 	g.namings.Update(g.clock(), asked, reply.Version.Term, reply.Publications)
@@ -351,7 +351,7 @@
 
 // mayBeSent reports whether the gateway's view counts.
 func (g *fleetGateway) mayBeSent() bool {
-	return g.confirmed > 0 && g.clock()-g.confirmed < fleetTrust && len(g.roster) > 0
+	return g.confirmed > 0 && g.clock()-g.confirmed < fleetViewTTL && len(g.roster) > 0
 }
 
 // send picks a back end as a gateway would and tells the oracle.
