--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	fleetService    = "fleet"
-	fleetModel      = "m"
-	fleetBackends   = 4
-	fleetGateways   = 3
-	fleetOperators  = 2
-	fleetViewTTL    = 2 * time.Second
-	fleetOrderDelay = 2500 * time.Millisecond
-	fleetHold       = 300 * time.Millisecond
-	fleetBeat       = 500 * time.Millisecond
-	fleetSend       = 60 * time.Millisecond
-	fleetLoad       = 800 * time.Millisecond
-	fleetDrain      = 2 * time.Second
-	fleetOlder      = 0.2             // share of lives that begin with older weights than the last one had
-	fleetLate       = 4 * time.Second // longest delay of an order whose answer was lost
-	fleetMoves      = 0.1             // share of a gateway's questions with which it goes to another replica
-	alone           = 1 << 20         // gateways up to which the leader answers all, where no replica is to answer for it
+	fleetService           = "fleet"
+	fleetModel             = "m"
+	fleetBackends          = 4
+	fleetGateways          = 3
+	fleetOperators         = 2
+	fleetViewTTL           = 2 * time.Second
+	fleetOrderDelay        = 2500 * time.Millisecond
+	fleetHold              = 300 * time.Millisecond
+	fleetHeartbeatInterval = 500 * time.Millisecond
+	fleetSend              = 60 * time.Millisecond
+	fleetLoad              = 800 * time.Millisecond
+	fleetDrain             = 2 * time.Second
+	fleetOlder             = 0.2             // share of lives that begin with older weights than the last one had
+	fleetLate              = 4 * time.Second // longest delay of an order whose answer was lost
+	fleetMoves             = 0.1             // share of a gateway's questions with which it goes to another replica
+	alone                  = 1 << 20         // gateways up to which the leader answers all, where no replica is to answer for it
 	// sendWindow after a back end began to load, while the leader that ordered it goes on leading, no gateway may send there.
 	sendWindow = 300 * time.Millisecond
 	// holderWindow is the least time between orders of two holders to one back end: the pause by a clock that runs fast.
@@ -127,7 +127,7 @@
 	if b.version > 1 && b.w.chance(fleetOlder) {
 		b.version-- // it kept older weights than it was last seen with
 	}
-	b.ticker(fleetBeat, b.beat)
+	b.ticker(fleetHeartbeatInterval, b.beat)
 	b.after(b.w.between(10*time.Second, 40*time.Second), b.drain)
 }
 
