--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -23,7 +23,7 @@
 	fleetOrderDelay        = 2500 * time.Millisecond
 	fleetHold              = 300 * time.Millisecond
 	fleetHeartbeatInterval = 500 * time.Millisecond
-	fleetSend              = 60 * time.Millisecond
+	fleetSendInterval      = 60 * time.Millisecond
 	fleetLoad              = 800 * time.Millisecond
 	fleetDrain             = 2 * time.Second
 	fleetOlder             = 0.2             // share of lives that begin with older weights than the last one had
@@ -304,7 +304,7 @@
 	g.w.oracle.fleet.told[g.process.name] = map[uint64]time.Duration{}
 	g.w.oracle.fleet.used[g.process.name] = 0
 	g.follow()
-	g.ticker(fleetSend, g.send)
+	g.ticker(fleetSendInterval, g.send)
 	g.endHot()
 }
 
