--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -24,7 +24,7 @@
 	fleetHold              = 300 * time.Millisecond
 	fleetHeartbeatInterval = 500 * time.Millisecond
 	fleetSendInterval      = 60 * time.Millisecond
-	fleetLoad              = 800 * time.Millisecond
+	fleetLoadTime          = 800 * time.Millisecond
 	fleetDrain             = 2 * time.Second
 	fleetOlder             = 0.2             // share of lives that begin with older weights than the last one had
 	fleetLate              = 4 * time.Second // longest delay of an order whose answer was lost
@@ -230,8 +230,8 @@
 	}
 	b.fence = call.Fence
 	b.revision++
-	b.loadsTo = b.w.now() + fleetLoad
-	b.after(fleetLoad, func() { b.version = call.Version })
+	b.loadsTo = b.w.now() + fleetLoadTime
+	b.after(fleetLoadTime, func() { b.version = call.Version })
 	return control.WeightsResult{Kind: control.WeightsAccepted}
 }
 
