--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -25,7 +25,7 @@
 	fleetHeartbeatInterval = 500 * time.Millisecond
 	fleetSendInterval      = 60 * time.Millisecond
 	fleetLoadTime          = 800 * time.Millisecond
-	fleetDrain             = 2 * time.Second
+	fleetDrainTime         = 2 * time.Second
 	fleetOlder             = 0.2             // share of lives that begin with older weights than the last one had
 	fleetLate              = 4 * time.Second // longest delay of an order whose answer was lost
 	fleetMoves             = 0.1             // share of a gateway's questions with which it goes to another replica
@@ -205,7 +205,7 @@
 		if decided {
 			b.w.oracle.fleet.leaving[id] = b.w.now()
 		}
-		b.after(fleetDrain, func() {
+		b.after(fleetDrainTime, func() {
 			leave := &control.BackendHeartbeat{Instance: catalog.Instance{ID: catalog.ParseInstanceID(id).Name}, Leaving: true}
 			b.asker.ask(control.Request{BackendHeartbeat: leave}, b.w.now()+10*time.Second, func(control.Response, bool) {
 				b.kill(false)
