--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -26,7 +26,7 @@
 	fleetSendInterval      = 60 * time.Millisecond
 	fleetLoadTime          = 800 * time.Millisecond
 	fleetDrainTime         = 2 * time.Second
-	fleetOlder             = 0.2             // share of lives that begin with older weights than the last one had
+	olderWeightsRatio      = 0.2             // share of lives that begin with older weights than the last one had
 	fleetLate              = 4 * time.Second // longest delay of an order whose answer was lost
 	fleetMoves             = 0.1             // share of a gateway's questions with which it goes to another replica
 	alone                  = 1 << 20         // gateways up to which the leader answers all, where no replica is to answer for it
@@ -124,7 +124,7 @@
 	b.sequence, b.draining, b.loadsTo, b.revision, b.fence, b.told = 0, false, 0, 0, 0, ""
 	b.rejecting, b.advertised = rejection{}, limitPeriod{}
 	b.version = max(b.version, 1)
-	if b.version > 1 && b.w.chance(fleetOlder) {
+	if b.version > 1 && b.w.chance(olderWeightsRatio) {
 		b.version-- // it kept older weights than it was last seen with
 	}
 	b.ticker(fleetHeartbeatInterval, b.beat)
