--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -27,7 +27,7 @@
 	fleetLoadTime          = 800 * time.Millisecond
 	fleetDrainTime         = 2 * time.Second
 	olderWeightsRatio      = 0.2             // share of lives that begin with older weights than the last one had
-	fleetLate              = 4 * time.Second // longest delay of an order whose answer was lost
+	maxOrderDelay          = 4 * time.Second // longest delay of an order whose answer was lost
 	fleetMoves             = 0.1             // share of a gateway's questions with which it goes to another replica
 	alone                  = 1 << 20         // gateways up to which the leader answers all, where no replica is to answer for it
 	// sendWindow after a back end began to load, while the leader that ordered it goes on leading, no gateway may send there.
@@ -252,7 +252,7 @@
 	if call.Kind == control.WeightsOrder && n.w.chance(0.15) {
 		n.after(time.Second, func() { report(control.WeightsResult{Kind: control.WeightsUnknown}) })
 		if n.w.chance(0.7) {
-			n.w.after(n.w.between(0, fleetLate), func() { target.run(target.life, func() { target.take(call) }) })
+			n.w.after(n.w.between(0, maxOrderDelay), func() { target.run(target.life, func() { target.take(call) }) })
 		}
 		return
 	}
