--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -28,7 +28,7 @@
 	fleetDrainTime         = 2 * time.Second
 	olderWeightsRatio      = 0.2             // share of lives that begin with older weights than the last one had
 	maxOrderDelay          = 4 * time.Second // longest delay of an order whose answer was lost
-	fleetMoves             = 0.1             // share of a gateway's questions with which it goes to another replica
+	replicaSwitchRatio     = 0.1             // share of a gateway's questions with which it goes to another replica
 	alone                  = 1 << 20         // gateways up to which the leader answers all, where no replica is to answer for it
 	// sendWindow after a back end began to load, while the leader that ordered it goes on leading, no gateway may send there.
 	sendWindow = 300 * time.Millisecond
@@ -316,7 +316,7 @@
 	question := &control.Watch{
 		Gateway: g.process.name, Zone: g.zone, Revision: g.revision, Roster: g.version, Hold: fleetHold, Quarantine: g.record.Version(),
 	}
-	if g.w.relaysWatches && g.w.chance(fleetMoves) {
+	if g.w.relaysWatches && g.w.chance(replicaSwitchRatio) {
 		g.asker.leader = pick(g.w, g.w.controls).name // another replica answers from now on
 	}
 	g.asker.once(control.Request{Watch: question}, askTimeout, func(response control.Response, answered bool) {
