--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -29,7 +29,7 @@
 	olderWeightsRatio      = 0.2             // share of lives that begin with older weights than the last one had
 	maxOrderDelay          = 4 * time.Second // longest delay of an order whose answer was lost
 	replicaSwitchRatio     = 0.1             // share of a gateway's questions with which it goes to another replica
-	alone                  = 1 << 20         // gateways up to which the leader answers all, where no replica is to answer for it
+	noRelay                = 1 << 20         // gateways up to which the leader answers all, where no replica is to answer for it
 	// sendWindow after a back end began to load, while the leader that ordered it goes on leading, no gateway may send there.
 	sendWindow = 300 * time.Millisecond
 	// holderWindow is the least time between orders of two holders to one back end: the pause by a clock that runs fast.
@@ -379,7 +379,7 @@
 	if w.relaysWatches {
 		return 0
 	}
-	return alone
+	return noRelay
 }
 
 // makeFleet lays the gateway fleet out over the zones.
