--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -102,24 +102,24 @@
 // fleetBackend registers itself, takes orders, drains, leaves, and comes back as another life at its address.
 type fleetBackend struct {
 	*process
-	asker      *asker
-	lives      int
-	id         string
-	sequence   uint64
-	draining   bool
-	version    uint64
-	loadsTo    time.Duration
-	revision   uint64 // orders taken in this life
-	fence      uint64
-	rejecting  rejection
-	advertised limitPeriod
-	told       string // what a heartbeat told that the leader has taken
+	asker        *asker
+	incarnations int
+	id           string
+	sequence     uint64
+	draining     bool
+	version      uint64
+	loadsTo      time.Duration
+	revision     uint64 // orders taken in this life
+	fence        uint64
+	rejecting    rejection
+	advertised   limitPeriod
+	told         string // what a heartbeat told that the leader has taken
 }
 
 func (b *fleetBackend) boot() {
 	b.start()
 	b.asker = newAsker(b.w, b.process)
-	b.lives++
+	b.incarnations++
 	b.id = b.nextID()
 	b.sequence, b.draining, b.loadsTo, b.revision, b.fence, b.told = 0, false, 0, 0, 0, ""
 	b.rejecting, b.advertised = rejection{}, limitPeriod{}
@@ -136,7 +136,7 @@
 	if b.w.reportsStartTime {
 		return catalog.Incarnation{Name: b.process.name, StartedMS: b.w.today().UnixMilli()}.ID()
 	}
-	return fmt.Sprintf("%s-%d", b.process.name, b.lives)
+	return fmt.Sprintf("%s-%d", b.process.name, b.incarnations)
 }
 
 // isMeant reports whether a call that expects a life reaches this one: a back end knows its name alone.
