--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -108,7 +108,7 @@
 	sequence     uint64
 	draining     bool
 	version      uint64
-	loadsTo      time.Duration
+	loadingUntil time.Duration
 	revision     uint64 // orders taken in this life
 	fence        uint64
 	rejecting    rejection
@@ -121,7 +121,7 @@
 	b.asker = newAsker(b.w, b.process)
 	b.incarnations++
 	b.id = b.nextID()
-	b.sequence, b.draining, b.loadsTo, b.revision, b.fence, b.told = 0, false, 0, 0, 0, ""
+	b.sequence, b.draining, b.loadingUntil, b.revision, b.fence, b.told = 0, false, 0, 0, 0, ""
 	b.rejecting, b.advertised = rejection{}, limitPeriod{}
 	b.version = max(b.version, 1)
 	if b.version > 1 && b.w.chance(olderWeightsRatio) {
@@ -217,7 +217,7 @@
 
 // take carries out a call of a leader.
 func (b *fleetBackend) take(call control.WeightsCall) control.WeightsResult {
-	loading := b.w.now() < b.loadsTo
+	loading := b.w.now() < b.loadingUntil
 	switch {
 	case !b.isMeant(call.Instance):
 		return control.WeightsResult{Kind: control.WeightsRejected}
@@ -230,7 +230,7 @@
 	}
 	b.fence = call.Fence
 	b.revision++
-	b.loadsTo = b.w.now() + fleetLoadTime
+	b.loadingUntil = b.w.now() + fleetLoadTime
 	b.after(fleetLoadTime, func() { b.version = call.Version })
 	return control.WeightsResult{Kind: control.WeightsAccepted}
 }
