--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -113,7 +113,7 @@
 	fence        uint64
 	rejecting    rejection
 	advertised   limitPeriod
-	told         string // what a heartbeat told that the leader has taken
+	ackedState   string // what a heartbeat told that the leader has taken
 }
 
 func (b *fleetBackend) boot() {
@@ -121,7 +121,7 @@
 	b.asker = newAsker(b.w, b.process)
 	b.incarnations++
 	b.id = b.nextID()
-	b.sequence, b.draining, b.loadingUntil, b.revision, b.fence, b.told = 0, false, 0, 0, 0, ""
+	b.sequence, b.draining, b.loadingUntil, b.revision, b.fence, b.ackedState = 0, false, 0, 0, 0, ""
 	b.rejecting, b.advertised = rejection{}, limitPeriod{}
 	b.version = max(b.version, 1)
 	if b.version > 1 && b.w.chance(olderWeightsRatio) {
@@ -166,15 +166,15 @@
 // sendBeat sends a heartbeat, or a sign where the leader has taken a whole one that told the same.
 func (b *fleetBackend) sendBeat(beat *control.BackendHeartbeat) {
 	request := b.request(beat)
-	if b.told == toldOf(beat) && beat.Sequence%3 == 0 {
+	if b.ackedState == toldOf(beat) && beat.Sequence%3 == 0 {
 		request = control.Request{Keepalives: []control.Keepalive{{ID: beat.Instance.ID, Sequence: beat.Sequence}}}
 	}
 	b.asker.once(request, askTimeout, func(response control.Response, answered bool) {
 		switch {
 		case !answered || response.Kind != control.ResponseOK || len(response.UnknownBackends) > 0:
-			b.told = ""
+			b.ackedState = ""
 		case len(request.Keepalives) == 0:
-			b.told = toldOf(beat)
+			b.ackedState = toldOf(beat)
 		}
 	})
 }
