--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -46,7 +46,7 @@
 
 // sendDeadly sends a deadly request as a gateway would, to a back end that then ends.
 func (g *fleetGateway) sendDeadly(f quarantine.Fingerprint) {
-	if !g.mayBeSent() || g.w.guards.On(guard.QuarantineCheck) && g.record.CrashCount(f) >= quarantine.QuarantineThreshold {
+	if !g.mayBeSent() || g.w.guards.On(guard.QuarantineCheck) && g.crashes.CrashCount(f) >= quarantine.QuarantineThreshold {
 		return
 	}
 	entry := pick(g.w, g.roster)
@@ -76,7 +76,7 @@
 // brokeOff notes runs that broke off, and looks whether their back end has ended: an address of a machine without power says nothing.
 func (g *fleetGateway) brokeOff(b *fleetBackend, life string, silent bool, runs []quarantine.Fingerprint) {
 	for _, f := range runs {
-		if told, counts := g.record.RecordFailure(g.clock(), life, f); counts {
+		if told, counts := g.crashes.RecordFailure(g.clock(), life, f); counts {
 			g.tellEnded(told)
 		}
 	}
@@ -92,7 +92,7 @@
 
 // proved notes the proof that a life ended.
 func (g *fleetGateway) proved(life string) {
-	if told, counts := g.record.ConfirmEnd(g.clock(), life); counts {
+	if told, counts := g.crashes.ConfirmEnd(g.clock(), life); counts {
 		g.tellEnded(told)
 	}
 }
@@ -104,7 +104,7 @@
 // tell has control make a change, as a gateway's thread does.
 func (g *fleetGateway) tell(change quarantine.Change) {
 	request := control.Request{Catalog: &catalog.Command{Quarantine: &change}}
-	record := g.record
+	record := g.crashes
 	g.asker.ask(request, g.w.now()+deadlyTellTime, func(_ control.Response, taken bool) {
 		if taken {
 			record.Acknowledge(change.Crashes)
@@ -121,7 +121,7 @@
 // takeQuarantine takes up what control tells of ended back ends.
 func (g *fleetGateway) takeQuarantine(reply *control.WatchReply, before []control.RosterEntry) {
 	if reply.Quarantine != nil {
-		g.release(g.record.ApplyUpdate(g.clock(), reply.Quarantine)...)
+		g.release(g.crashes.ApplyUpdate(g.clock(), reply.Quarantine)...)
 	}
 	now := map[string]string{}
 	for _, e := range g.roster {
@@ -132,7 +132,7 @@
 			g.proved(e.ID)
 		}
 	}
-	g.record.Sweep(g.clock())
+	g.crashes.Sweep(g.clock())
 }
 
 // endHot ends one run of the hot request well, and looks whether it is held back.
@@ -141,10 +141,10 @@
 	if !g.mayBeSent() {
 		return
 	}
-	if g.w.guards.On(guard.QuarantineCheck) && g.record.CrashCount(hotRequest) >= quarantine.QuarantineThreshold {
-		g.w.oracle.fail(HeldBackTrue, "%s holds a request back that ends well, for %d lives", g.process.name, g.record.CrashCount(hotRequest))
+	if g.w.guards.On(guard.QuarantineCheck) && g.crashes.CrashCount(hotRequest) >= quarantine.QuarantineThreshold {
+		g.w.oracle.fail(HeldBackTrue, "%s holds a request back that ends well, for %d lives", g.process.name, g.crashes.CrashCount(hotRequest))
 	}
-	if g.record.RecordCompletion(g.clock(), hotRequest) {
+	if g.crashes.RecordCompletion(g.clock(), hotRequest) {
 		g.release(hotRequest)
 	}
 }
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -285,7 +285,7 @@
 	version   control.RosterVersion
 	roster    []control.RosterEntry
 	confirmed time.Duration // by its own clock; 0 never
-	record    *quarantine.Tracker
+	crashes   *quarantine.Tracker
 	namings   *belief.PublishTimes
 	pushed    *pushback.Tracker // what back ends said of themselves
 	borrower  *allowance.Client
@@ -297,7 +297,7 @@
 	g.start()
 	g.startedAt = g.w.now()
 	g.asker = newAsker(g.w, g.process)
-	g.revision, g.version, g.roster, g.confirmed, g.record = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
+	g.revision, g.version, g.roster, g.confirmed, g.crashes = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
 	g.namings, g.pushed = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
 	g.borrower, g.asking = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetViewTTL), false
 	g.lender = &asker{w: g.w, from: g.process}
@@ -314,7 +314,7 @@
 	asked := g.clock()
 	told := g.w.oracle.fleetTold()
 	question := &control.Watch{
-		Gateway: g.process.name, Zone: g.zone, Revision: g.revision, Roster: g.version, Hold: fleetHold, Quarantine: g.record.Version(),
+		Gateway: g.process.name, Zone: g.zone, Revision: g.revision, Roster: g.version, Hold: fleetHold, Quarantine: g.crashes.Version(),
 	}
 	if g.w.relaysWatches && g.w.chance(replicaSwitchRatio) {
 		g.asker.leader = pick(g.w, g.w.controls).name // another replica answers from now on
@@ -340,7 +340,7 @@
 		g.roster = reply.Roster.Merge(g.roster)
 	}
 	if g.confirmed > 0 {
-		g.record.RecordIdle(g.clock(), g.clock()-g.confirmed-fleetViewTTL)
+		g.crashes.RecordIdle(g.clock(), g.clock()-g.confirmed-fleetViewTTL)
 	}
 	g.takeQuarantine(reply, before)
 	g.namings.Update(g.clock(), asked, reply.Version.Term, reply.Publications)
