--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -287,7 +287,7 @@
 	confirmed time.Duration // by its own clock; 0 never
 	crashes   *quarantine.Tracker
 	namings   *belief.PublishTimes
-	pushed    *pushback.Tracker // what back ends said of themselves
+	signals   *pushback.Tracker // what back ends said of themselves
 	borrower  *allowance.Client
 	lender    *asker // asks for parts of limits
 	asking    bool
@@ -298,7 +298,7 @@
 	g.startedAt = g.w.now()
 	g.asker = newAsker(g.w, g.process)
 	g.revision, g.version, g.roster, g.confirmed, g.crashes = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
-	g.namings, g.pushed = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
+	g.namings, g.signals = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
 	g.borrower, g.asking = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetViewTTL), false
 	g.lender = &asker{w: g.w, from: g.process}
 	g.w.oracle.fleet.told[g.process.name] = map[uint64]time.Duration{}
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -105,7 +105,7 @@
 
 // barred reports whether the back end itself wants no request from this gateway.
 func (g *fleetGateway) barred(entry control.RosterEntry) bool {
-	bar, now := g.pushed.Restriction(g.clock(), catalog.ParseInstanceID(entry.ID)), g.clock()
+	bar, now := g.signals.Restriction(g.clock(), catalog.ParseInstanceID(entry.ID)), g.clock()
 	return bar.IsBackingOff(now) && g.w.guards.On(guard.BackoffCheck) || bar.Draining && g.w.guards.On(guard.LeavingSelfReported)
 }
 
@@ -114,11 +114,11 @@
 func (g *fleetGateway) hear(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (turnedAway bool) {
 	said := pushback.Signals{Backoff: b.rejecting.sheds(g.w.now()), Draining: b.draining, Limit: b.advertised.limit(g.w.now())}
 	g.w.oracle.heard(pairOf(g.process, b.id), said)
-	g.pushed.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), said, g.w.random.Float64())
+	g.signals.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), said, g.w.random.Float64())
 	if said.Limit.Advertised {
 		g.w.oracle.heardLimit(pairOf(g.process, b.id), b.advertised)
 	} else {
-		g.pushed.ObserveNoLimit(g.clock(), sent, catalog.ParseInstanceID(entry.ID))
+		g.signals.ObserveNoLimit(g.clock(), sent, catalog.ParseInstanceID(entry.ID))
 	}
 	return said.Backoff > 0
 }
