--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -288,7 +288,7 @@
 	crashes   *quarantine.Tracker
 	namings   *belief.PublishTimes
 	signals   *pushback.Tracker // what back ends said of themselves
-	borrower  *allowance.Client
+	leases    *allowance.Client
 	lender    *asker // asks for parts of limits
 	asking    bool
 }
@@ -299,7 +299,7 @@
 	g.asker = newAsker(g.w, g.process)
 	g.revision, g.version, g.roster, g.confirmed, g.crashes = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
 	g.namings, g.signals = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
-	g.borrower, g.asking = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetViewTTL), false
+	g.leases, g.asking = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetViewTTL), false
 	g.lender = &asker{w: g.w, from: g.process}
 	g.w.oracle.fleet.told[g.process.name] = map[uint64]time.Duration{}
 	g.w.oracle.fleet.used[g.process.name] = 0
@@ -346,7 +346,7 @@
 	g.namings.Update(g.clock(), asked, reply.Version.Term, reply.Publications)
 	g.w.oracle.namingsTold(g.process.name, reply.Publications)
 	g.version, g.confirmed = reply.Version, asked
-	g.borrower.RecordContact(asked, reply.Gateways)
+	g.leases.RecordContact(asked, reply.Gateways)
 }
 
 // mayBeSent reports whether the gateway's view counts.
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -143,8 +143,8 @@
 	}
 	name, now := quota.Backend(entry.ID), g.clock()
 	named := allowance.AdvertisedLimit{Rate: limit.Rate, Age: now - heard}
-	g.borrower.SetAdvertisedLimit(now, name, named)
-	if hold, ok := g.borrower.Take(now, name, 1); ok {
+	g.leases.SetAdvertisedLimit(now, name, named)
+	if hold, ok := g.leases.Take(now, name, 1); ok {
 		return hold.Valid(now)
 	}
 	if !g.asking {
@@ -156,15 +156,15 @@
 // askPermit asks the leader for a part of a back end's limit, and sends there if there is one.
 func (g *fleetGateway) askPermit(entry control.RosterEntry, wants []allowance.Demand) {
 	asked := g.clock()
-	question := g.borrower.NewRequest(asked, wants)
+	question := g.leases.NewRequest(asked, wants)
 	g.asking = true
 	g.lender.once(control.Request{Borrow: &question}, leaseTimeout, func(response control.Response, answered bool) {
 		g.asking = false
 		var hold allowance.Lease
 		if answered && response.Lent != nil {
-			hold = g.borrower.ApplyReply(g.clock(), asked, wants, *response.Lent)[0].Lease
+			hold = g.leases.ApplyReply(g.clock(), asked, wants, *response.Lent)[0].Lease
 		} else {
-			hold, _ = g.borrower.TakeFallback(g.clock(), wants[0].Name, 1)
+			hold, _ = g.leases.TakeFallback(g.clock(), wants[0].Name, 1)
 		}
 		at := slices.IndexFunc(g.roster, func(e control.RosterEntry) bool { return e.ID == entry.ID })
 		if hold.Valid(g.clock()) && at >= 0 && g.maySendTo(g.roster[at]) {
