--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -158,7 +158,7 @@
 	asked := g.clock()
 	question := g.leases.NewRequest(asked, wants)
 	g.asking = true
-	g.lender.once(control.Request{Borrow: &question}, leaseTimeout, func(response control.Response, answered bool) {
+	g.leaseAsker.once(control.Request{Borrow: &question}, leaseTimeout, func(response control.Response, answered bool) {
 		g.asking = false
 		var hold allowance.Lease
 		if answered && response.Lent != nil {
