--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -279,18 +279,18 @@
 // fleetGateway follows control as a gateway does, and sends to back ends of its roster while its view counts.
 type fleetGateway struct {
 	*process
-	asker      *asker
-	startedAt  time.Duration
-	revision   uint64
-	version    control.RosterVersion
-	roster     []control.RosterEntry
-	confirmed  time.Duration // by its own clock; 0 never
-	crashes    *quarantine.Tracker
-	namings    *belief.PublishTimes
-	signals    *pushback.Tracker // what back ends said of themselves
-	leases     *allowance.Client
-	leaseAsker *asker // asks for parts of limits
-	asking     bool
+	asker           *asker
+	startedAt       time.Duration
+	revision        uint64
+	version         control.RosterVersion
+	roster          []control.RosterEntry
+	confirmed       time.Duration // by its own clock; 0 never
+	crashes         *quarantine.Tracker
+	namings         *belief.PublishTimes
+	signals         *pushback.Tracker // what back ends said of themselves
+	leases          *allowance.Client
+	leaseAsker      *asker // asks for parts of limits
+	requestingLease bool
 }
 
 func (g *fleetGateway) boot() {
@@ -299,7 +299,7 @@
 	g.asker = newAsker(g.w, g.process)
 	g.revision, g.version, g.roster, g.confirmed, g.crashes = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
 	g.namings, g.signals = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
-	g.leases, g.asking = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetViewTTL), false
+	g.leases, g.requestingLease = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetViewTTL), false
 	g.leaseAsker = &asker{w: g.w, from: g.process}
 	g.w.oracle.fleet.told[g.process.name] = map[uint64]time.Duration{}
 	g.w.oracle.fleet.used[g.process.name] = 0
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -147,7 +147,7 @@
 	if hold, ok := g.leases.Take(now, name, 1); ok {
 		return hold.Valid(now)
 	}
-	if !g.asking {
+	if !g.requestingLease {
 		g.askPermit(entry, []allowance.Demand{{Name: name, Amount: 1, Advertised: &named}})
 	}
 	return false
@@ -157,9 +157,9 @@
 func (g *fleetGateway) askPermit(entry control.RosterEntry, wants []allowance.Demand) {
 	asked := g.clock()
 	question := g.leases.NewRequest(asked, wants)
-	g.asking = true
+	g.requestingLease = true
 	g.leaseAsker.once(control.Request{Borrow: &question}, leaseTimeout, func(response control.Response, answered bool) {
-		g.asking = false
+		g.requestingLease = false
 		var hold allowance.Lease
 		if answered && response.Lent != nil {
 			hold = g.leases.ApplyReply(g.clock(), asked, wants, *response.Lent)[0].Lease
