--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -286,7 +286,7 @@
 	roster          []control.RosterEntry
 	confirmed       time.Duration // by its own clock; 0 never
 	crashes         *quarantine.Tracker
-	namings         *belief.PublishTimes
+	publishTimes    *belief.PublishTimes
 	signals         *pushback.Tracker // what back ends said of themselves
 	leases          *allowance.Client
 	leaseAsker      *asker // asks for parts of limits
@@ -298,7 +298,7 @@
 	g.startedAt = g.w.now()
 	g.asker = newAsker(g.w, g.process)
 	g.revision, g.version, g.roster, g.confirmed, g.crashes = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
-	g.namings, g.signals = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
+	g.publishTimes, g.signals = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
 	g.leases, g.requestingLease = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetViewTTL), false
 	g.leaseAsker = &asker{w: g.w, from: g.process}
 	g.w.oracle.fleet.told[g.process.name] = map[uint64]time.Duration{}
@@ -343,7 +343,7 @@
 		g.crashes.RecordIdle(g.clock(), g.clock()-g.confirmed-fleetViewTTL)
 	}
 	g.takeQuarantine(reply, before)
-	g.namings.Update(g.clock(), asked, reply.Version.Term, reply.Publications)
+	g.publishTimes.Update(g.clock(), asked, reply.Version.Term, reply.Publications)
 	g.w.oracle.namingsTold(g.process.name, reply.Publications)
 	g.version, g.confirmed = reply.Version, asked
 	g.leases.RecordContact(asked, reply.Gateways)
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -27,7 +27,7 @@
 // tooOld reports whether no request may begin on a back end's weights any more. It sends none where it doesn't know them.
 func (g *fleetGateway) tooOld(entry control.RosterEntry) bool {
 	held, known := entry.Versions[fleetModel]
-	namedAt, lacks := g.namings.OldestMissing(fleetModel, held)
+	namedAt, lacks := g.publishTimes.OldestMissing(fleetModel, held)
 	return !known || lacks && g.clock() >= namedAt+fleetLimit
 }
 
