--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -52,13 +52,13 @@
 // nameSent notes that a version is about to be named.
 func (o *oracle) nameSent(version uint64) {
 	o.fleet.named = version
-	o.fleet.namings[version] = &fleetNaming{highest: o.w.controls[0].wallSkew, lowest: o.w.controls[0].wallSkew}
+	o.fleet.publications[version] = &fleetNaming{highest: o.w.controls[0].wallSkew, lowest: o.w.controls[0].wallSkew}
 	o.dayMoved()
 }
 
 // nameAcknowledged notes that an operator was told that a version is named.
 func (o *oracle) nameAcknowledged(version uint64) {
-	naming := o.fleet.namings[version]
+	naming := o.fleet.publications[version]
 	naming.acked, naming.ackedAt = true, o.w.now()
 	o.fleet.namedAcked = max(o.fleet.namedAcked, version)
 	waiting := o.w.onPublished
@@ -70,7 +70,7 @@
 
 // dayMoved takes up the replicas' times of day.
 func (o *oracle) dayMoved() {
-	for _, naming := range o.fleet.namings {
+	for _, naming := range o.fleet.publications {
 		for _, n := range o.w.controls {
 			naming.lowest = min(naming.lowest, n.wallSkew)
 			if !naming.acked {
@@ -93,7 +93,7 @@
 // cost, and, whatever times of day did, within the limit after this gateway first heard of one.
 func (o *oracle) fleetBegan(gateway string, b *fleetBackend) {
 	now := o.w.now()
-	for version, naming := range o.fleet.namings {
+	for version, naming := range o.fleet.publications {
 		if version <= b.version {
 			continue
 		}
