--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -89,7 +89,7 @@
 }
 
 func (o *fleetOperator) nameWeightsNow() {
-	version := o.w.oracle.fleet.named + 1
+	version := o.w.oracle.fleet.lastPublishedSent + 1
 	o.w.oracle.nameSent(version)
 	request := control.Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: fleetModel, Version: version}}}
 	o.asker.ask(request, o.w.now()+20*time.Second, func(_ control.Response, decided bool) {
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -51,7 +51,7 @@
 
 // nameSent notes that a version is about to be named.
 func (o *oracle) nameSent(version uint64) {
-	o.fleet.named = version
+	o.fleet.lastPublishedSent = version
 	o.fleet.publications[version] = &fleetNaming{highest: o.w.controls[0].wallSkew, lowest: o.w.controls[0].wallSkew}
 	o.dayMoved()
 }
