--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -11,16 +11,16 @@
 
 // fleetOracle is what operators and back ends of the gateway fleet were told.
 type fleetOracle struct {
-	acknowledged      uint64                   // highest revision that an operator was told of
-	contents          map[uint64]string        // content seen under each revision
-	used              map[string]uint64        // newest revision by gateway, in its current life
-	leaving           map[string]time.Duration // instances whose draining was acknowledged, and when
-	lastPublishedSent uint64                   // highest version that was sent
-	namedAcked        uint64
-	publications      map[uint64]*fleetNaming             // by version, of all that were sent
-	told              map[string]map[uint64]time.Duration // by gateway and version: when it first heard of it, in its current life
-	orders            map[string]issuedOrder              // newest by instance
-	loads             map[string]issuedOrder              // newest that a back end took at once, by instance
+	acknowledged       uint64                   // highest revision that an operator was told of
+	contents           map[uint64]string        // content seen under each revision
+	used               map[string]uint64        // newest revision by gateway, in its current life
+	leaving            map[string]time.Duration // instances whose draining was acknowledged, and when
+	lastPublishedSent  uint64                   // highest version that was sent
+	lastPublishedAcked uint64
+	publications       map[uint64]*fleetNaming             // by version, of all that were sent
+	told               map[string]map[uint64]time.Duration // by gateway and version: when it first heard of it, in its current life
+	orders             map[string]issuedOrder              // newest by instance
+	loads              map[string]issuedOrder              // newest that a back end took at once, by instance
 }
 
 // issuedOrder is an order that left its leader.
@@ -124,8 +124,8 @@
 		}
 	}
 	for _, b := range o.w.backends {
-		if !b.draining && b.version < o.fleet.namedAcked {
-			o.fail(CacheIsolation, "%s rests at weights %d, %d was acknowledged", b.id, b.version, o.fleet.namedAcked)
+		if !b.draining && b.version < o.fleet.lastPublishedAcked {
+			o.fail(CacheIsolation, "%s rests at weights %d, %d was acknowledged", b.id, b.version, o.fleet.lastPublishedAcked)
 		}
 	}
 	if o.fleet.acknowledged == 0 {
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -60,7 +60,7 @@
 func (o *oracle) nameAcknowledged(version uint64) {
 	naming := o.fleet.publications[version]
 	naming.acked, naming.ackedAt = true, o.w.now()
-	o.fleet.namedAcked = max(o.fleet.namedAcked, version)
+	o.fleet.lastPublishedAcked = max(o.fleet.lastPublishedAcked, version)
 	waiting := o.w.onPublished
 	o.w.onPublished = nil
 	for _, run := range waiting {
