--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -83,8 +83,8 @@
 // namingsTold notes when a gateway first heard of each naming, in its current life.
 func (o *oracle) namingsTold(gateway string, wanted []control.WeightsPublication) {
 	for _, w := range wanted {
-		if _, told := o.fleet.told[gateway][w.Version]; !told {
-			o.fleet.told[gateway][w.Version] = o.w.now()
+		if _, told := o.fleet.publicationSeenAt[gateway][w.Version]; !told {
+			o.fleet.publicationSeenAt[gateway][w.Version] = o.w.now()
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		if late := now - naming.ackedAt - fleetLimit - limitSlack - day; naming.acked && late > 0 {
 			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-naming.ackedAt, version)
 		}
-		heard, told := o.fleet.told[gateway][version]
+		heard, told := o.fleet.publicationSeenAt[gateway][version]
 		if late := now - heard - fleetLimit - limitSlack; told && late > 0 {
 			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after it heard of %d", gateway, b.version, b.id, now-heard, version)
 		}
