--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -302,7 +302,7 @@
 	g.leases, g.requestingLease = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetViewTTL), false
 	g.leaseAsker = &asker{w: g.w, from: g.process}
 	g.w.oracle.fleet.publicationSeenAt[g.process.name] = map[uint64]time.Duration{}
-	g.w.oracle.fleet.used[g.process.name] = 0
+	g.w.oracle.fleet.usedRevision[g.process.name] = 0
 	g.follow()
 	g.ticker(fleetSendInterval, g.send)
 	g.endHot()
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -13,7 +13,7 @@
 type fleetOracle struct {
 	acknowledged       uint64                   // highest revision that an operator was told of
 	contents           map[uint64]string        // content seen under each revision
-	used               map[string]uint64        // newest revision by gateway, in its current life
+	usedRevision       map[string]uint64        // newest revision by gateway, in its current life
 	leaving            map[string]time.Duration // instances whose draining was acknowledged, and when
 	lastPublishedSent  uint64                   // highest version that was sent
 	lastPublishedAcked uint64
@@ -33,7 +33,7 @@
 
 func newFleetOracle() fleetOracle {
 	return fleetOracle{
-		contents: map[uint64]string{}, used: map[string]uint64{}, leaving: map[string]time.Duration{}, orders: map[string]issuedOrder{},
+		contents: map[uint64]string{}, usedRevision: map[string]uint64{}, leaving: map[string]time.Duration{}, orders: map[string]issuedOrder{},
 		loads: map[string]issuedOrder{}, publications: map[uint64]*fleetNaming{}, publicationSeenAt: map[string]map[uint64]time.Duration{},
 	}
 }
@@ -76,10 +76,10 @@
 		o.fail(SettingsHold, "revision %d is both %s and %s", document.Revision, known, content)
 	}
 	o.fleet.contents[document.Revision] = content
-	if document.Revision < o.fleet.used[gateway] {
-		o.fail(SettingsHold, "%s went back from revision %d to %d", gateway, o.fleet.used[gateway], document.Revision)
+	if document.Revision < o.fleet.usedRevision[gateway] {
+		o.fail(SettingsHold, "%s went back from revision %d to %d", gateway, o.fleet.usedRevision[gateway], document.Revision)
 	}
-	o.fleet.used[gateway] = document.Revision
+	o.fleet.usedRevision[gateway] = document.Revision
 }
 
 // ordered checks that holders do not take turns, and remembers the order.
