--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -203,7 +203,7 @@
 	beat := &control.BackendHeartbeat{Instance: b.instance(), Sequence: b.sequence}
 	b.asker.ask(b.request(beat), b.w.now()+10*time.Second, func(_ control.Response, decided bool) {
 		if decided {
-			b.w.oracle.fleet.leaving[id] = b.w.now()
+			b.w.oracle.fleet.draining[id] = b.w.now()
 		}
 		b.after(fleetDrainTime, func() {
 			leave := &control.BackendHeartbeat{Instance: catalog.Instance{ID: catalog.ParseInstanceID(id).Name}, Leaving: true}
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -14,7 +14,7 @@
 	acknowledged       uint64                   // highest revision that an operator was told of
 	contents           map[uint64]string        // content seen under each revision
 	usedRevision       map[string]uint64        // newest revision by gateway, in its current life
-	leaving            map[string]time.Duration // instances whose draining was acknowledged, and when
+	draining           map[string]time.Duration // instances whose draining was acknowledged, and when
 	lastPublishedSent  uint64                   // highest version that was sent
 	lastPublishedAcked uint64
 	publications       map[uint64]*fleetNaming             // by version, of all that were sent
@@ -33,7 +33,7 @@
 
 func newFleetOracle() fleetOracle {
 	return fleetOracle{
-		contents: map[uint64]string{}, usedRevision: map[string]uint64{}, leaving: map[string]time.Duration{}, orders: map[string]issuedOrder{},
+		contents: map[uint64]string{}, usedRevision: map[string]uint64{}, draining: map[string]time.Duration{}, orders: map[string]issuedOrder{},
 		loads: map[string]issuedOrder{}, publications: map[uint64]*fleetNaming{}, publicationSeenAt: map[string]map[uint64]time.Duration{},
 	}
 }
@@ -61,7 +61,7 @@
 		return
 	}
 	for _, entry := range reply.Roster.Entries {
-		at, leaves := o.fleet.leaving[entry.ID]
+		at, leaves := o.fleet.draining[entry.ID]
 		if leaves && at < floor.at && entry.State == catalog.StateReady {
 			o.fail(LeavingNoWork, "%s was told that %s is ready, %v after its draining had been acknowledged", gateway, entry.ID, floor.at-at)
 		}
