--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -17,7 +17,7 @@
 	draining           map[string]time.Duration // instances whose draining was acknowledged, and when
 	lastPublishedSent  uint64                   // highest version that was sent
 	lastPublishedAcked uint64
-	publications       map[uint64]*fleetNaming             // by version, of all that were sent
+	publications       map[uint64]*publication             // by version, of all that were sent
 	publicationSeenAt  map[string]map[uint64]time.Duration // by gateway and version: when it first heard of it, in its current life
 	orders             map[string]issuedOrder              // newest by instance
 	loads              map[string]issuedOrder              // newest that a back end took at once, by instance
@@ -34,7 +34,7 @@
 func newFleetOracle() fleetOracle {
 	return fleetOracle{
 		contents: map[uint64]string{}, usedRevision: map[string]uint64{}, draining: map[string]time.Duration{}, orders: map[string]issuedOrder{},
-		loads: map[string]issuedOrder{}, publications: map[uint64]*fleetNaming{}, publicationSeenAt: map[string]map[uint64]time.Duration{},
+		loads: map[string]issuedOrder{}, publications: map[uint64]*publication{}, publicationSeenAt: map[string]map[uint64]time.Duration{},
 	}
 }
 
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -15,8 +15,8 @@
 	dayRounding = 2 * time.Millisecond
 )
 
-// fleetNaming is a version that an operator names.
-type fleetNaming struct {
+// publication is a version that an operator names.
+type publication struct {
 	acked   bool
 	ackedAt time.Duration
 	// highest is how far any replica's time of day was ahead while it may have been proposed, lowest how far behind since. A leader that
@@ -52,7 +52,7 @@
 // nameSent notes that a version is about to be named.
 func (o *oracle) nameSent(version uint64) {
 	o.fleet.lastPublishedSent = version
-	o.fleet.publications[version] = &fleetNaming{highest: o.w.controls[0].wallSkew, lowest: o.w.controls[0].wallSkew}
+	o.fleet.publications[version] = &publication{highest: o.w.controls[0].wallSkew, lowest: o.w.controls[0].wallSkew}
 	o.dayMoved()
 }
 
