--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -19,9 +19,9 @@
 type publication struct {
 	acked   bool
 	ackedAt time.Duration
-	// highest is how far any replica's time of day was ahead while it may have been proposed, lowest how far behind since. A leader that
+	// maxSkew is how far any replica's time of day was ahead while it may have been proposed, lowest how far behind since. A leader that
 	// didn't see the naming takes it to be younger by as much as its clock is behind the proposer's.
-	highest, lowest time.Duration
+	maxSkew, lowest time.Duration
 }
 
 // tooOld reports whether no request may begin on a back end's weights any more. It sends none where it doesn't know them.
@@ -52,7 +52,7 @@
 // nameSent notes that a version is about to be named.
 func (o *oracle) nameSent(version uint64) {
 	o.fleet.lastPublishedSent = version
-	o.fleet.publications[version] = &publication{highest: o.w.controls[0].wallSkew, lowest: o.w.controls[0].wallSkew}
+	o.fleet.publications[version] = &publication{maxSkew: o.w.controls[0].wallSkew, lowest: o.w.controls[0].wallSkew}
 	o.dayMoved()
 }
 
@@ -74,7 +74,7 @@
 		for _, n := range o.w.controls {
 			naming.lowest = min(naming.lowest, n.wallSkew)
 			if !naming.acked {
-				naming.highest = max(naming.highest, n.wallSkew)
+				naming.maxSkew = max(naming.maxSkew, n.wallSkew)
 			}
 		}
 	}
@@ -97,7 +97,7 @@
 		if version <= b.version {
 			continue
 		}
-		day := naming.highest - naming.lowest + dayRounding
+		day := naming.maxSkew - naming.lowest + dayRounding
 		if late := now - naming.ackedAt - fleetLimit - limitSlack - day; naming.acked && late > 0 {
 			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-naming.ackedAt, version)
 		}
