--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -24,8 +24,8 @@
 	maxSkew, lowest time.Duration
 }
 
-// tooOld reports whether no request may begin on a back end's weights any more. It sends none where it doesn't know them.
-func (g *fleetGateway) tooOld(entry control.RosterEntry) bool {
+// startsTooLate reports whether no request may begin on a back end's weights any more. It sends none where it doesn't know them.
+func (g *fleetGateway) startsTooLate(entry control.RosterEntry) bool {
 	held, known := entry.Versions[fleetModel]
 	namedAt, lacks := g.publishTimes.OldestMissing(fleetModel, held)
 	return !known || lacks && g.clock() >= namedAt+fleetLimit
