--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -17,7 +17,7 @@
 	// replacedEach is how often a control process is ended to come back as one of both builds, beside all faults: several times before a level
 	// comes into force, and after it.
 	replacedEach = 4 * time.Second
-	replacedIn   = 50 * time.Millisecond // how long that takes; it counts as trouble of control like every other end of one of its processes
+	replaceDelay = 50 * time.Millisecond // how long that takes; it counts as trouble of control like every other end of one of its processes
 	buildStream  = 18
 	// raiseSlack is how long a build may have run when a level comes into force that it doesn't know: the leader takes a member's word for a second,
 	// and the entry takes a moment.
@@ -50,7 +50,7 @@
 		return
 	}
 	n.die(false)
-	w.restartControl(n, replacedIn)
+	w.restartControl(n, replaceDelay)
 }
 
 // drawBuild returns the build that a control process starts as.
@@ -74,7 +74,7 @@
 	n.build = newBuild
 	n.die(false)
 	n.keepsBuild = true
-	n.w.restartControl(n, replacedIn)
+	n.w.restartControl(n, replaceDelay)
 }
 
 // checkBuild checks a control process after its work: it holds nothing that its build doesn't know, and no level comes into force under one that has
