--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -24,8 +24,8 @@
 	raiseSlack = 3 * time.Second
 )
 
-// raised is the level in force, as the first process that holds it sees it.
-type raised struct {
+// levelInForce is the level in force, as the first process that holds it sees it.
+type levelInForce struct {
 	level   level.Level
 	at      time.Duration
 	members consensus.Membership
@@ -85,7 +85,7 @@
 	}
 	held := n.replica.Machine().Level()
 	if held > n.w.raised.level {
-		n.w.raised = raised{held, n.w.now(), n.replica.Node().Membership()}
+		n.w.raised = levelInForce{held, n.w.now(), n.replica.Node().Membership()}
 	}
 	err := n.replica.Err()
 	_, member := n.w.raised.members.Find(n.identity.ID)
