--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -13,7 +13,7 @@
 	// deadlyLength is how long a request that ends whoever runs it comes again, at most so often.
 	deadlyLength     = 25 * time.Second
 	fatalMinInterval = 30 * time.Millisecond
-	deadlyLatest     = 900 * time.Millisecond
+	fatalMaxInterval = 900 * time.Millisecond
 	deadlyTellTime   = 20 * time.Second
 	// deadlyContact is how long control and a gateway must have been well for what the gateway sends to count, and deadlyMore how many
 	// sends beyond the third life may count.
@@ -39,7 +39,7 @@
 		}
 		g := pick(w, w.gateways)
 		g.run(g.life, func() { g.sendDeadly(f) })
-		w.after(w.between(fatalMinInterval, deadlyLatest), come)
+		w.after(w.between(fatalMinInterval, fatalMaxInterval), come)
 	}
 	come()
 }
