--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -11,10 +11,10 @@
 
 const (
 	// deadlyLength is how long a request that ends whoever runs it comes again, at most so often.
-	deadlyLength     = 25 * time.Second
-	fatalMinInterval = 30 * time.Millisecond
-	fatalMaxInterval = 900 * time.Millisecond
-	deadlyTellTime   = 20 * time.Second
+	deadlyLength            = 25 * time.Second
+	fatalMinInterval        = 30 * time.Millisecond
+	fatalMaxInterval        = 900 * time.Millisecond
+	quarantineReportTimeout = 20 * time.Second
 	// deadlyContact is how long control and a gateway must have been well for what the gateway sends to count, and deadlyMore how many
 	// sends beyond the third life may count.
 	deadlyContact = 4 * time.Second
@@ -105,7 +105,7 @@
 func (g *fleetGateway) tell(change quarantine.Change) {
 	request := control.Request{Catalog: &catalog.Command{Quarantine: &change}}
 	record := g.crashes
-	g.asker.ask(request, g.w.now()+deadlyTellTime, func(_ control.Response, taken bool) {
+	g.asker.ask(request, g.w.now()+quarantineReportTimeout, func(_ control.Response, taken bool) {
 		if taken {
 			record.Acknowledge(change.Crashes)
 		}
