--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -98,11 +98,11 @@
 }
 
 func (g *fleetGateway) tellEnded(told quarantine.Crash) {
-	g.tell(quarantine.Change{Crashes: []quarantine.Crash{told}})
+	g.proposeQuarantineChange(quarantine.Change{Crashes: []quarantine.Crash{told}})
 }
 
-// tell has control make a change, as a gateway's thread does.
-func (g *fleetGateway) tell(change quarantine.Change) {
+// proposeQuarantineChange has control make a change, as a gateway's thread does.
+func (g *fleetGateway) proposeQuarantineChange(change quarantine.Change) {
 	request := control.Request{Catalog: &catalog.Command{Quarantine: &change}}
 	record := g.crashes
 	g.asker.ask(request, g.w.now()+quarantineReportTimeout, func(_ control.Response, taken bool) {
@@ -114,7 +114,7 @@
 
 func (g *fleetGateway) release(innocent ...quarantine.Fingerprint) {
 	if len(innocent) > 0 {
-		g.tell(quarantine.Change{Releases: []quarantine.Release{{Requests: innocent, Reason: quarantine.ReasonCompleted}}})
+		g.proposeQuarantineChange(quarantine.Change{Releases: []quarantine.Release{{Requests: innocent, Reason: quarantine.ReasonCompleted}}})
 	}
 }
 
