--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// deadlyRequest is what the oracle knows of a request that ends whoever runs it.
-type deadlyRequest struct {
+// fatalRequest is what the oracle knows of a request that ends whoever runs it.
+type fatalRequest struct {
 	ended   int           // lives
 	thirdAt time.Duration // when the last life ended that a request may end before it is held back
 	later   int           // sends that count against it
@@ -160,7 +160,7 @@
 func (o *oracle) deadlyArrived(g *fleetGateway, f quarantine.Fingerprint, life string) {
 	d := o.deadly[f]
 	if d == nil {
-		d = &deadlyRequest{}
+		d = &fatalRequest{}
 		o.deadly[f] = d
 	}
 	now := o.w.now()
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -101,7 +101,7 @@
 	fleet        fleetOracle
 	said         saidOracle
 	limits       limitOracle
-	deadly       map[quarantine.Fingerprint]*deadlyRequest
+	deadly       map[quarantine.Fingerprint]*fatalRequest
 	deadlies     int
 }
 
@@ -109,7 +109,7 @@
 	return &oracle{
 		w: w, runs: map[string]int{}, notRunSends: map[*exchange]bool{},
 		outcomes: map[string]settings.Outcome{}, versions: map[uint64]string{}, routerUsed: map[string]uint64{},
-		fleet: newFleetOracle(), said: newSaidOracle(), limits: limitOracle{}, deadly: map[quarantine.Fingerprint]*deadlyRequest{},
+		fleet: newFleetOracle(), said: newSaidOracle(), limits: limitOracle{}, deadly: map[quarantine.Fingerprint]*fatalRequest{},
 	}
 }
 
