--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -151,7 +151,7 @@
 
 // fatalRequest is what the oracle knows of a request that ends whoever runs it.
 type fatalRequest struct {
-	ended   int           // lives
+	crashes int           // lives
 	thirdAt time.Duration // when the last life ended that a request may end before it is held back
 	later   int           // sends that count against it
 }
@@ -165,12 +165,12 @@
 	}
 	now := o.w.now()
 	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thirdAt)+deadlyContact
-	if d.ended >= quarantine.QuarantineThreshold && well {
+	if d.crashes >= quarantine.QuarantineThreshold && well {
 		if d.later++; d.later > deadlyMore {
-			o.fail(HeldBackTrue, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.ended, now-d.thirdAt)
+			o.fail(HeldBackTrue, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.crashes, now-d.thirdAt)
 		}
 	}
-	if d.ended++; d.ended == quarantine.QuarantineThreshold {
+	if d.crashes++; d.crashes == quarantine.QuarantineThreshold {
 		d.thirdAt = now
 	}
 }
