--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -151,9 +151,9 @@
 
 // fatalRequest is what the oracle knows of a request that ends whoever runs it.
 type fatalRequest struct {
-	crashes int           // lives
-	thirdAt time.Duration // when the last life ended that a request may end before it is held back
-	later   int           // sends that count against it
+	crashes     int           // lives
+	thirdAt     time.Duration // when the last life ended that a request may end before it is held back
+	excessSends int           // sends that count against it
 }
 
 // deadlyArrived checks a send of a deadly request.
@@ -166,7 +166,7 @@
 	now := o.w.now()
 	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thirdAt)+deadlyContact
 	if d.crashes >= quarantine.QuarantineThreshold && well {
-		if d.later++; d.later > deadlyMore {
+		if d.excessSends++; d.excessSends > deadlyMore {
 			o.fail(HeldBackTrue, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.crashes, now-d.thirdAt)
 		}
 	}
