--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	leaveLength = 10 * time.Second // until a leaving back end ends
-	awayLength  = 2 * time.Second  // until it comes back
+	drainDuration = 10 * time.Second // until a leaving back end ends
+	awayLength    = 2 * time.Second  // until it comes back
 )
 
 // mischief is what back ends and the machine list do wrong on purpose, and until when.
@@ -68,7 +68,7 @@
 	}
 	p.drainingSince = w.now()
 	w.logf("%s is to leave", p.name)
-	w.after(leaveLength, func() {
+	w.after(drainDuration, func() {
 		p.kill(false)
 		p.drainingSince = 0
 		w.restart(n, awayLength)
