--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -4,7 +4,7 @@
 
 const (
 	drainDuration = 10 * time.Second // until a leaving back end ends
-	awayLength    = 2 * time.Second  // until it comes back
+	restartDelay  = 2 * time.Second  // until it comes back
 )
 
 // mischief is what back ends and the machine list do wrong on purpose, and until when.
@@ -71,7 +71,7 @@
 	w.after(drainDuration, func() {
 		p.kill(false)
 		p.drainingSince = 0
-		w.restart(n, awayLength)
+		w.restart(n, restartDelay)
 	})
 }
 
