--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// fleetFault strikes one process of the fleet.
-func (w *world) fleetFault() {
+// faultFleetProcess strikes one process of the fleet.
+func (w *world) faultFleetProcess() {
 	w.faults++
 	if w.chance(0.4) {
 		struck := pick(w, w.backends)
