--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -124,7 +124,7 @@
 	run.toCaller = c.w.newStream(router.process, c.process)
 	router.connect(run)
 	c.open = append(c.open, run)
-	life := router.life
+	life := router.generation
 	c.w.after(c.w.latency(c.process, router.process), func() {
 		router.run(life, func() { router.arrive(run) })
 	})
--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -38,7 +38,7 @@
 			return
 		}
 		g := pick(w, w.gateways)
-		g.run(g.life, func() { g.sendDeadly(f) })
+		g.run(g.generation, func() { g.sendDeadly(f) })
 		w.after(w.between(fatalMinInterval, fatalMaxInterval), come)
 	}
 	come()
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -102,7 +102,7 @@
 // submit takes a job, or returns why not.
 func (e *engineNode) submit(action core.ActionDispatch, s *sending) engine.SubmitResult {
 	job := &engine.Job{
-		Attempt: action.Attempt, Origin: fmt.Sprintf("%s#%d", s.router.name, s.router.life), Tenant: s.request.job.tenant,
+		Attempt: action.Attempt, Origin: fmt.Sprintf("%s#%d", s.router.name, s.router.generation), Tenant: s.request.job.tenant,
 		Blocks: action.Blocks, PromptTokens: s.request.promptTokens(), MaxTokens: action.MaxTokens, ResumeFrom: action.ResumeFrom,
 		Lane: action.Lane, Incarnation: action.Incarnation, Weights: action.Weights, ExpectedCachedTokens: action.ExpectedCachedTokens,
 		ImportFrom: action.ImportFrom, ImportBlocks: action.ImportBlocks, UserData: s,
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -252,7 +252,7 @@
 	if call.Kind == control.WeightsOrder && n.w.chance(0.15) {
 		n.after(time.Second, func() { report(control.WeightsResult{Kind: control.WeightsUnknown}) })
 		if n.w.chance(0.7) {
-			n.w.after(n.w.between(0, maxOrderDelay), func() { target.run(target.life, func() { target.take(call) }) })
+			n.w.after(n.w.between(0, maxOrderDelay), func() { target.run(target.generation, func() { target.take(call) }) })
 		}
 		return
 	}
@@ -299,7 +299,7 @@
 	g.asker = newAsker(g.w, g.process)
 	g.revision, g.version, g.roster, g.confirmed, g.crashes = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
 	g.publishTimes, g.signals = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
-	g.leases, g.requestingLease = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetViewTTL), false
+	g.leases, g.requestingLease = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.generation), fleetViewTTL), false
 	g.leaseAsker = &asker{w: g.w, from: g.process}
 	g.w.oracle.fleet.publicationSeenAt[g.process.name] = map[uint64]time.Duration{}
 	g.w.oracle.fleet.usedRevision[g.process.name] = 0
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -53,7 +53,7 @@
 		if w.lost(from, to) {
 			continue
 		}
-		life := to.life
+		life := to.generation
 		w.after(w.latency(from, to), func() { to.run(life, arrive) })
 	}
 }
@@ -70,7 +70,7 @@
 
 // call sends a request; serve runs at the callee and answers through respond.
 func (w *world) call(from, to *process, timeout time.Duration, serve func(respond func(answer func())), failed func(refused bool)) {
-	c := &call{w: w, from: from, to: to, fromLife: from.life, failed: failed}
+	c := &call{w: w, from: from, to: to, fromLife: from.generation, failed: failed}
 	if !to.up {
 		w.after(refusalDelay, func() { c.fail(true) })
 		return
@@ -80,7 +80,7 @@
 		return
 	}
 	to.connect(c)
-	life := to.life
+	life := to.generation
 	w.after(w.latency(from, to), func() {
 		to.run(life, func() { serve(c.respond) })
 	})
@@ -123,7 +123,7 @@
 }
 
 func (w *world) newStream(from, to *process) *stream {
-	return &stream{w: w, from: from, to: to, toLife: to.life, fromLife: from.life}
+	return &stream{w: w, from: from, to: to, toLife: to.generation, fromLife: from.generation}
 }
 
 func (s *stream) send(arrive func()) {
--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -12,7 +12,7 @@
 	w             *world
 	name          string
 	zone          string
-	life          int // raised at each start and each end
+	generation    int // raised at each start and each end
 	up            bool
 	frozen        bool
 	speed         float64       // of its monotonic clock
@@ -51,7 +51,7 @@
 
 // start begins a new life.
 func (p *process) start() {
-	p.life++
+	p.generation++
 	p.up, p.frozen = true, false
 	p.suspendedAt, p.suspendedFor = 0, 0
 }
@@ -61,7 +61,7 @@
 	if !p.up {
 		return
 	}
-	p.life++
+	p.generation++
 	p.up, p.frozen = false, false
 	p.backlog = nil
 	broken := p.connections
@@ -137,7 +137,7 @@
 	p.w.logf("%s thaws with %d things waiting", p.name, len(p.backlog))
 	waiting := p.backlog
 	p.backlog = nil
-	life := p.life
+	life := p.generation
 	for _, run := range waiting {
 		p.run(life, run)
 	}
@@ -146,7 +146,7 @@
 // run does something within a life: now, or when the process thaws. It is dropped when the life has ended.
 func (p *process) run(life int, do func()) {
 	switch {
-	case !p.up || p.life != life:
+	case !p.up || p.generation != life:
 	case p.frozen:
 		p.backlog = append(p.backlog, func() { p.run(life, do) })
 	default:
@@ -156,7 +156,7 @@
 
 // after sets a timer of the process's current life. It stands still while the machine is suspended.
 func (p *process) after(delay time.Duration, do func()) {
-	life, lost, armed := p.life, p.suspendedFor, p.w.now()
+	life, lost, armed := p.generation, p.suspendedFor, p.w.now()
 	p.w.after(delay, func() {
 		p.run(life, func() {
 			if left := delay - (p.w.now() - armed - (p.suspendedFor - lost)); left > 0 {
@@ -175,9 +175,9 @@
 	}
 	p.freeze()
 	p.suspendedAt = p.w.now()
-	life := p.life
+	life := p.generation
 	p.w.after(length, func() {
-		if p.life == life {
+		if p.generation == life {
 			p.thaw()
 		}
 	})
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -56,7 +56,7 @@
 type pair struct{ sender, backend string }
 
 func pairOf(sender *process, backend string) pair {
-	return pair{fmt.Sprintf("%s#%d", sender.name, sender.life), backend}
+	return pair{fmt.Sprintf("%s#%d", sender.name, sender.generation), backend}
 }
 
 // restWindow is the part of one rest in which requests count.
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -302,7 +302,7 @@
 	}
 	delete(r.sendings, attempt)
 	s.over = true
-	origin := fmt.Sprintf("%s#%d", r.name, r.life)
+	origin := fmt.Sprintf("%s#%d", r.name, r.generation)
 	r.w.message(r.process, s.engine.process, func() {
 		s.engine.model.Cancel(origin, attempt)
 		s.engine.advance()
