--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -101,7 +101,7 @@
 func (w *world) freezeRouter(r *routerNode, length time.Duration) {
 	r.freeze()
 	r.stopping = false
-	w.after(length, r.thaw)
+	w.after(length, r.resume)
 }
 
 func (w *world) faultStopRouter() {
@@ -138,7 +138,7 @@
 	length := w.between(300*time.Millisecond, 12*time.Second)
 	n.freeze()
 	w.controlTrouble(length)
-	w.after(length, n.thaw)
+	w.after(length, n.resume)
 }
 
 // faultSuspendControl suspends a replica's machine, mostly the leader's, some right when it acknowledged a change.
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -410,11 +410,11 @@
 // healFleet brings every process of the fleet back.
 func (w *world) healFleet() {
 	for _, g := range w.gateways {
-		g.thaw()
+		g.resume()
 		w.restart(g, 0)
 	}
 	for _, b := range w.backends {
-		b.thaw()
+		b.resume()
 		w.restart(b, 0)
 	}
 }
--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -14,7 +14,7 @@
 	struck := pick(w, w.gateways)
 	if w.chance(0.5) {
 		struck.freeze()
-		w.after(w.between(500*time.Millisecond, 5*time.Second), struck.thaw)
+		w.after(w.between(500*time.Millisecond, 5*time.Second), struck.resume)
 		return
 	}
 	struck.kill(w.chance(0.5))
--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -47,7 +47,7 @@
 func (w *world) faultFreezeEngine() {
 	e := pick(w, w.engines)
 	e.freeze()
-	w.after(w.between(300*time.Millisecond, 6*time.Second), e.thaw)
+	w.after(w.between(300*time.Millisecond, 6*time.Second), e.resume)
 }
 
 func (w *world) faultDrainEngine() {
@@ -137,7 +137,7 @@
 	w.mischief.slowOrder = func(leader *controlNode) time.Duration {
 		w.after(10*time.Millisecond, leader.freeze)
 		w.controlTrouble(length)
-		w.after(length, leader.thaw)
+		w.after(length, leader.resume)
 		for round := range 3 {
 			w.after(2*time.Second+time.Duration(round)*400*time.Millisecond, w.operators[1].flipWeights)
 		}
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -121,7 +121,7 @@
 		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.loseLeader(leader) })
 	default:
 		late.freeze()
-		w.after(away, late.thaw)
+		w.after(away, late.resume)
 		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.loseLeader(leader) })
 	}
 	w.controlTrouble(2 * away)
--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// thaw lets the process go on with what has arrived, in order.
-func (p *process) thaw() {
+// resume lets the process go on with what has arrived, in order.
+func (p *process) resume() {
 	if !p.up || !p.frozen {
 		return
 	}
@@ -178,7 +178,7 @@
 	life := p.generation
 	p.w.after(length, func() {
 		if p.generation == life {
-			p.thaw()
+			p.resume()
 		}
 	})
 }
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -131,16 +131,16 @@
 	w.mischief = mischief{}
 	w.platform.omitted = map[string]bool{}
 	for _, n := range w.controls {
-		n.thaw()
+		n.resume()
 		w.restartControl(n, 0)
 	}
 	w.healFleet()
 	for _, r := range w.routers {
-		r.thaw()
+		r.resume()
 		w.restart(r, 0)
 	}
 	for _, e := range w.engines {
-		e.thaw()
+		e.resume()
 		e.drainingSince = 0
 		w.restart(e, 0)
 	}
