--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -122,7 +122,7 @@
 		return
 	}
 	run.toCaller = c.w.newStream(router.process, c.process)
-	router.connect(run)
+	router.trackConnection(run)
 	c.open = append(c.open, run)
 	life := router.generation
 	c.w.after(c.w.latency(c.process, router.process), func() {
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -111,7 +111,7 @@
 	result := e.model.Submit(e.w.now(), job)
 	if result == engine.Accepted || result == engine.AcceptedWithoutReuse {
 		e.w.oracle.engineTook(e, job, s, result)
-		e.connect(s)
+		e.trackConnection(s)
 	}
 	e.advance()
 	return result
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -79,7 +79,7 @@
 	if w.lost(from, to) || w.chance(callLossRatio) {
 		return
 	}
-	to.connect(c)
+	to.trackConnection(c)
 	life := to.generation
 	w.after(w.latency(from, to), func() {
 		to.run(life, func() { serve(c.respond) })
--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -108,8 +108,8 @@
 // maxTrackedConnections is the number of connections from which ended ones are dropped.
 const maxTrackedConnections = 256
 
-// connect notes a connection to the process.
-func (p *process) connect(fresh connection) {
+// trackConnection notes a connection to the process.
+func (p *process) trackConnection(fresh connection) {
 	if len(p.connections) >= maxTrackedConnections {
 		p.connections = slices.DeleteFunc(p.connections, connection.ended)
 	}
