--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -23,7 +23,7 @@
 	return w.network.cut[[2]string{from.zone, to.zone}] > 0
 }
 
-func (w *world) bad() bool { return w.now() < w.network.degradedUntil }
+func (w *world) isDegraded() bool { return w.now() < w.network.degradedUntil }
 
 // latency draws the time of one way.
 func (w *world) latency(from, to *process) time.Duration {
@@ -32,7 +32,7 @@
 		base = zoneLatency
 	}
 	delay := base + w.between(0, base)
-	if w.bad() && w.chance(0.3) {
+	if w.isDegraded() && w.chance(0.3) {
 		delay += w.between(0, 150*time.Millisecond)
 	}
 	return delay
@@ -40,13 +40,13 @@
 
 // lost draws whether a message is lost.
 func (w *world) lost(from, to *process) bool {
-	return w.isCut(from, to) || (w.bad() && w.chance(w.network.lossRatio))
+	return w.isCut(from, to) || (w.isDegraded() && w.chance(w.network.lossRatio))
 }
 
 // message sends something that may be lost, repeated or reordered.
 func (w *world) message(from, to *process, arrive func()) {
 	copies := 1
-	if w.bad() && w.chance(0.1) {
+	if w.isDegraded() && w.chance(0.1) {
 		copies = 2
 	}
 	for range copies {
