--- a/internal/lab/sim/platform.go
+++ b/internal/lab/sim/platform.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// list returns the reading that is platformLag old.
-func (p *platform) list() []core.Machine {
+// currentMachines returns the reading that is platformLag old.
+func (p *platform) currentMachines() []core.Machine {
 	at := max(0, len(p.readings)-1-int(platformLag/platformInterval))
 	return p.readings[at]
 }
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -144,7 +144,7 @@
 func (r *routerNode) readList() {
 	asked := r.clock()
 	r.w.call(r.process, r.w.platform.process, time.Second, func(respond func(func())) {
-		machines := r.w.platform.list()
+		machines := r.w.platform.currentMachines()
 		respond(func() { r.post(core.EventMachineList{RequestedAt: asked, Machines: machines}) })
 	}, func(bool) {})
 }
