--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -137,7 +137,7 @@
 
 // checkLeaving checks a send at the moment the router makes it; what was on its way before may arrive late.
 func (o *oracle) checkLeaving(r *routerNode, backend string) {
-	leftAt := o.w.leftAt(backend)
+	leftAt := o.w.drainingSince(backend)
 	if leftAt > 0 && o.w.now() > leftAt+leavingGrace {
 		o.fail(LeavingNoWork, "%s sent new work to %s %v after it was said to leave", r.name, backend, o.w.now()-leftAt)
 	}
--- a/internal/lab/sim/platform.go
+++ b/internal/lab/sim/platform.go
@@ -52,8 +52,8 @@
 	return p.readings[at]
 }
 
-// leftAt returns when the platform said that a back end leaves, or 0.
-func (w *world) leftAt(name string) time.Duration {
+// drainingSince returns when the platform said that a back end leaves, or 0.
+func (w *world) drainingSince(name string) time.Duration {
 	if e := w.engine(name); e != nil {
 		return e.drainingSince
 	}
