--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -82,8 +82,8 @@
 	})
 }
 
-// controlTrouble notes that control may be unwell until a time.
-func (w *world) controlTrouble(length time.Duration) {
+// recordControlDisturbance notes that control may be unwell until a time.
+func (w *world) recordControlDisturbance(length time.Duration) {
 	w.oracle.controlFault = max(w.oracle.controlFault, w.now()+length)
 }
 
@@ -120,7 +120,7 @@
 }
 
 func (w *world) restartControl(n *controlNode, after time.Duration) {
-	w.controlTrouble(after)
+	w.recordControlDisturbance(after)
 	w.restart(n, after)
 }
 
@@ -137,7 +137,7 @@
 	}
 	length := w.between(300*time.Millisecond, 12*time.Second)
 	n.freeze()
-	w.controlTrouble(length)
+	w.recordControlDisturbance(length)
 	w.after(length, n.resume)
 }
 
@@ -150,7 +150,7 @@
 	length := w.between(200*time.Millisecond, 8*time.Second)
 	suspend := func() {
 		n.suspend(length)
-		w.controlTrouble(length)
+		w.recordControlDisturbance(length)
 	}
 	if w.chance(0.4) {
 		w.onAccept = append(w.onAccept, suspend)
@@ -227,7 +227,7 @@
 	n.die(w.chance(0.5))
 	n.newFolder()
 	w.restartControl(n, w.between(50*time.Millisecond, time.Second))
-	w.controlTrouble(2 * repairAfter)
+	w.recordControlDisturbance(2 * repairAfter)
 }
 
 func (w *world) voter() *controlNode {
@@ -282,7 +282,7 @@
 		return
 	}
 	heal := w.cutZone(lagging.zone)
-	w.controlTrouble(4 * time.Second)
+	w.recordControlDisturbance(4 * time.Second)
 	w.onAccept = append(w.onAccept, func() {
 		if !w.votersWhole() {
 			return // another disk was lost meanwhile, and two at once are more than a group of three bears
@@ -321,7 +321,7 @@
 
 func (w *world) faultCutZone() {
 	length := w.between(500*time.Millisecond, 9*time.Second)
-	w.controlTrouble(length)
+	w.recordControlDisturbance(length)
 	w.after(length, w.cutZone(pick(w, zones)))
 }
 
@@ -331,7 +331,7 @@
 		return
 	}
 	length := w.between(500*time.Millisecond, 9*time.Second)
-	w.controlTrouble(length)
+	w.recordControlDisturbance(length)
 	w.after(length, w.cut([][2]string{{from, to}}))
 }
 
@@ -339,7 +339,7 @@
 	length := w.between(time.Second, 8*time.Second)
 	w.network.degradedUntil = max(w.network.degradedUntil, w.now()+length)
 	w.network.lossRatio = 0.02 + 0.2*w.random.Float64()
-	w.controlTrouble(length)
+	w.recordControlDisturbance(length)
 }
 
 // faultBlackout takes the majority of control while routers restart.
--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -108,7 +108,7 @@
 		w.after(w.between(2*time.Millisecond, 12*time.Millisecond), func() { w.freezeRouter(r, length) })
 		w.after(length-100*time.Millisecond, func() {
 			heal := w.cutZone(r.zone)
-			w.controlTrouble(4 * time.Second)
+			w.recordControlDisturbance(4 * time.Second)
 			w.after(3500*time.Millisecond, heal)
 		})
 	}
@@ -136,7 +136,7 @@
 	const length = 5 * time.Second
 	w.mischief.slowOrder = func(leader *controlNode) time.Duration {
 		w.after(10*time.Millisecond, leader.freeze)
-		w.controlTrouble(length)
+		w.recordControlDisturbance(length)
 		w.after(length, leader.resume)
 		for round := range 3 {
 			w.after(2*time.Second+time.Duration(round)*400*time.Millisecond, w.operators[1].flipWeights)
@@ -162,7 +162,7 @@
 	if leader == nil || r.zone == serveLastZone || r.zone == leader.zone {
 		return
 	}
-	w.controlTrouble(length)
+	w.recordControlDisturbance(length)
 	w.after(length, w.cutZone(r.zone))
 	w.after(100*time.Millisecond, w.operators[0].flipWeights)
 	for at := settingsLease * 3 / 4; at < settingsLease*5/4; at += 10 * time.Millisecond {
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -124,7 +124,7 @@
 		w.after(away, late.resume)
 		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.loseLeader(leader) })
 	}
-	w.controlTrouble(2 * away)
+	w.recordControlDisturbance(2 * away)
 	w.onPublished = append(w.onPublished, func() {
 		for _, g := range w.gateways {
 			if w.chance(0.4) {
