--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -22,7 +22,7 @@
 	{"kill router", (*world).faultKillRouter},
 	{"freeze router", (*world).faultFreezeRouter},
 	{"planned stop of a router", (*world).faultStopRouter},
-	{"herd restart of routers", (*world).faultHerd},
+	{"herd restart of routers", (*world).faultRestartAllRouters},
 	{"kill control replica", (*world).faultKillControl},
 	{"freeze leader", (*world).faultFreezeLeader},
 	{"power loss of all control replicas", (*world).faultPowerLoss},
@@ -112,7 +112,7 @@
 	r.plannedStop(func() { w.restart(r, w.between(200*time.Millisecond, 2*time.Second)) })
 }
 
-func (w *world) faultHerd() {
+func (w *world) faultRestartAllRouters() {
 	for _, r := range w.routers {
 		r.kill(w.chance(0.3))
 		w.restart(r, w.between(100*time.Millisecond, 500*time.Millisecond))
