--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -188,9 +188,9 @@
 	})
 }
 
-// mayWipe reports whether the membership is committed and every voter is up with its disk, so that losing one
+// toleratesDiskLoss reports whether the membership is committed and every voter is up with its disk, so that losing one
 // disk must lose nothing.
-func (w *world) mayWipe() bool { return len(w.network.cut) == 0 && w.votersWhole() }
+func (w *world) toleratesDiskLoss() bool { return len(w.network.cut) == 0 && w.votersWhole() }
 
 // votersWhole reports whether there is a leader, and every voter is up with the disk that it voted from.
 func (w *world) votersWhole() bool {
@@ -240,13 +240,13 @@
 }
 
 func (w *world) faultWipe() {
-	if w.mayWipe() {
+	if w.toleratesDiskLoss() {
 		w.wipe(w.voter())
 	}
 }
 
 func (w *world) faultWipeTwice() {
-	if !w.mayWipe() {
+	if !w.toleratesDiskLoss() {
 		return
 	}
 	w.wipe(w.voter())
@@ -255,7 +255,7 @@
 	second = func() {
 		switch {
 		case w.now() > min(deadline, activeTime):
-		case w.mayWipe():
+		case w.toleratesDiskLoss():
 			w.wipe(w.voter())
 		default:
 			w.after(20*time.Millisecond, second)
@@ -267,7 +267,7 @@
 // faultLaggingElected cuts one follower off, waits for an accepted change, then takes the disk of the other
 // follower and the life of the leader, and heals the cut: only the leader's disk holds the change then.
 func (w *world) faultLaggingElected() {
-	if !w.mayWipe() {
+	if !w.toleratesDiskLoss() {
 		return
 	}
 	leader := w.leader()
