--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -190,10 +190,10 @@
 
 // toleratesDiskLoss reports whether the membership is committed and every voter is up with its disk, so that losing one
 // disk must lose nothing.
-func (w *world) toleratesDiskLoss() bool { return len(w.network.cut) == 0 && w.votersWhole() }
+func (w *world) toleratesDiskLoss() bool { return len(w.network.cut) == 0 && w.allVotersIntact() }
 
-// votersWhole reports whether there is a leader, and every voter is up with the disk that it voted from.
-func (w *world) votersWhole() bool {
+// allVotersIntact reports whether there is a leader, and every voter is up with the disk that it voted from.
+func (w *world) allVotersIntact() bool {
 	leader := w.leader()
 	if leader == nil || !leader.replica.Node().MembershipCommitted() {
 		return false
@@ -284,7 +284,7 @@
 	heal := w.cutZone(lagging.zone)
 	w.recordControlDisturbance(4 * time.Second)
 	w.onAccept = append(w.onAccept, func() {
-		if !w.votersWhole() {
+		if !w.allVotersIntact() {
 			return // another disk was lost meanwhile, and two at once are more than a group of three bears
 		}
 		leader.die(true)
