--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -221,8 +221,8 @@
 	panic("sim: no control replica " + name)
 }
 
-// wipe loses a replica's disk; it comes back with an empty folder.
-func (w *world) wipe(n *controlNode) {
+// loseDisk loses a replica's disk; it comes back with an empty folder.
+func (w *world) loseDisk(n *controlNode) {
 	w.logf("%s loses its disk", n.name)
 	n.die(w.chance(0.5))
 	n.newFolder()
@@ -241,7 +241,7 @@
 
 func (w *world) faultWipe() {
 	if w.toleratesDiskLoss() {
-		w.wipe(w.voter())
+		w.loseDisk(w.voter())
 	}
 }
 
@@ -249,14 +249,14 @@
 	if !w.toleratesDiskLoss() {
 		return
 	}
-	w.wipe(w.voter())
+	w.loseDisk(w.voter())
 	deadline := w.now() + 4*repairAfter
 	var second func()
 	second = func() {
 		switch {
 		case w.now() > min(deadline, activeTime):
 		case w.toleratesDiskLoss():
-			w.wipe(w.voter())
+			w.loseDisk(w.voter())
 		default:
 			w.after(20*time.Millisecond, second)
 		}
@@ -288,7 +288,7 @@
 			return // another disk was lost meanwhile, and two at once are more than a group of three bears
 		}
 		leader.die(true)
-		w.wipe(lost)
+		w.loseDisk(lost)
 		w.restartControl(leader, 6*time.Second)
 	})
 	w.after(3500*time.Millisecond, heal)
