--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -230,7 +230,7 @@
 	w.recordControlDisturbance(2 * repairAfter)
 }
 
-func (w *world) voter() *controlNode {
+func (w *world) randomVoter() *controlNode {
 	members := w.leader().replica.Node().Membership().Members
 	for {
 		if member := pick(w, members); !member.Learner {
@@ -241,7 +241,7 @@
 
 func (w *world) faultWipe() {
 	if w.toleratesDiskLoss() {
-		w.loseDisk(w.voter())
+		w.loseDisk(w.randomVoter())
 	}
 }
 
@@ -249,14 +249,14 @@
 	if !w.toleratesDiskLoss() {
 		return
 	}
-	w.loseDisk(w.voter())
+	w.loseDisk(w.randomVoter())
 	deadline := w.now() + 4*repairAfter
 	var second func()
 	second = func() {
 		switch {
 		case w.now() > min(deadline, activeTime):
 		case w.toleratesDiskLoss():
-			w.loseDisk(w.voter())
+			w.loseDisk(w.randomVoter())
 		default:
 			w.after(20*time.Millisecond, second)
 		}
