--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -26,7 +26,7 @@
 	{"kill control replica", (*world).faultKillControl},
 	{"freeze leader", (*world).faultFreezeLeader},
 	{"power loss of all control replicas", (*world).faultPowerLoss},
-	{"lost disk", (*world).faultWipe},
+	{"lost disk", (*world).faultLoseDisk},
 	{"lost disk, and a second one right after the repair", (*world).faultWipeTwice},
 	{"lagging replica, then lost disk and dead leader", (*world).faultLaggingElected},
 	{"cut zone", (*world).faultCutZone},
@@ -239,7 +239,7 @@
 	}
 }
 
-func (w *world) faultWipe() {
+func (w *world) faultLoseDisk() {
 	if w.toleratesDiskLoss() {
 		w.loseDisk(w.randomVoter())
 	}
