--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -27,7 +27,7 @@
 	{"freeze leader", (*world).faultFreezeLeader},
 	{"power loss of all control replicas", (*world).faultPowerLoss},
 	{"lost disk", (*world).faultLoseDisk},
-	{"lost disk, and a second one right after the repair", (*world).faultWipeTwice},
+	{"lost disk, and a second one right after the repair", (*world).faultLoseDiskTwice},
 	{"lagging replica, then lost disk and dead leader", (*world).faultLaggingElected},
 	{"cut zone", (*world).faultCutZone},
 	{"one-way cut", (*world).faultCutOneWay},
@@ -245,7 +245,7 @@
 	}
 }
 
-func (w *world) faultWipeTwice() {
+func (w *world) faultLoseDiskTwice() {
 	if !w.toleratesDiskLoss() {
 		return
 	}
