--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -59,7 +59,7 @@
 	{"disk that stalls under an order for weights", (*world).faultStallOrder},
 	{"writes while a replica is cut off, the others killed after the heal", (*world).faultCutThenKill},
 	{"leader that didn't see weights named", (*world).faultLateLeader},
-	{"back ends that turn requests away and ask for rest", (*world).faultShed},
+	{"back ends that turn requests away and ask for rest", (*world).faultRejectRequests},
 }
 
 // planFaults draws the faults of a run.
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -27,8 +27,8 @@
 	backoff time.Duration
 }
 
-// faultShed lets back ends turn requests away for a while and ask for rest.
-func (w *world) faultShed() {
+// faultRejectRequests lets back ends turn requests away for a while and ask for rest.
+func (w *world) faultRejectRequests() {
 	until, rest := w.now()+w.between(time.Second, 6*time.Second), w.between(time.Second, 5*time.Second)
 	all := w.chance(rejectAllRatio)
 	struckEngine, struckBackend := pick(w, w.engines), pick(w, w.backends)
