--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -46,7 +46,7 @@
 	{"order under way while its leader is frozen", (*world).faultSlowOrder},
 	{"change while a router is cut off, watched to the end of its lease", (*world).faultLeaseEnds},
 	{"wall clock jump", (*world).faultClockJump},
-	{"hot prefix shift", (*world).faultShift},
+	{"hot prefix shift", (*world).faultShiftHotPrefix},
 	{"control blackout with router restarts", (*world).faultBlackout},
 	{"router frozen in a claim, thawed into a cut", (*world).faultClaimFreeze},
 	{"routers frozen in claims, one after the other", (*world).faultClaimFreezes},
@@ -380,4 +380,4 @@
 	w.oracle.dayMoved()
 }
 
-func (w *world) faultShift() { w.callers.hot += 3 }
+func (w *world) faultShiftHotPrefix() { w.callers.hot += 3 }
