--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// sheds returns for how long a back end wants rest, or 0 when it takes requests.
-func (s rejection) sheds(now time.Duration) time.Duration {
+// requestedBackoff returns for how long a back end wants rest, or 0 when it takes requests.
+func (s rejection) requestedBackoff(now time.Duration) time.Duration {
 	if now < s.until {
 		return s.backoff
 	}
@@ -112,7 +112,7 @@
 // hear takes up what a back end says of itself in the answer to a request that was sent at a time. The gateway knows only whom it meant to ask,
 // not which life answered.
 func (g *fleetGateway) hear(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (turnedAway bool) {
-	said := pushback.Signals{Backoff: b.rejecting.sheds(g.w.now()), Draining: b.draining, Limit: b.advertised.limit(g.w.now())}
+	said := pushback.Signals{Backoff: b.rejecting.requestedBackoff(g.w.now()), Draining: b.draining, Limit: b.advertised.limit(g.w.now())}
 	g.w.oracle.heard(pairOf(g.process, b.id), said)
 	g.signals.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), said, g.w.random.Float64())
 	if said.Limit.Advertised {
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -240,7 +240,7 @@
 	r.w.oracle.sendsLimited(pairOf(r.process, e.lifeName()), e.advertised)
 	r.w.call(r.process, e.process, serviceLimit, func(respond func(func())) {
 		life := e.lives // that speaks, whichever was meant
-		if rest := e.shed.sheds(e.w.now()); rest > 0 {
+		if rest := e.shed.requestedBackoff(e.w.now()); rest > 0 {
 			asker := pairOf(r.process, e.lifeName())
 			respond(func() {
 				said := pushback.Signals{Backoff: rest}
