--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -59,20 +59,20 @@
 	return pair{fmt.Sprintf("%s#%d", sender.name, sender.generation), backend}
 }
 
-// restWindow is the part of one rest in which requests count.
-type restWindow struct {
+// backoffWindow is the part of one rest in which requests count.
+type backoffWindow struct {
 	from, until time.Duration
 	requests    int
 }
 
 // saidOracle is what back ends were heard to say of themselves.
 type saidOracle struct {
-	backoffs      map[pair][]*restWindow
+	backoffs      map[pair][]*backoffWindow
 	drainingSince map[pair]time.Duration // when it was first heard that the back end leaves
 }
 
 func newSaidOracle() saidOracle {
-	return saidOracle{backoffs: map[pair][]*restWindow{}, drainingSince: map[pair]time.Duration{}}
+	return saidOracle{backoffs: map[pair][]*backoffWindow{}, drainingSince: map[pair]time.Duration{}}
 }
 
 // heard notes that a process has an answer in which a back end speaks of itself. Its clock may run fast.
@@ -80,7 +80,7 @@
 	now := o.w.now()
 	if said.Backoff > 0 {
 		end := now + time.Duration(float64(said.Backoff)/(1+clockSkew))
-		o.said.backoffs[p] = append(o.said.backoffs[p], &restWindow{from: now + backoffGrace, until: end})
+		o.said.backoffs[p] = append(o.said.backoffs[p], &backoffWindow{from: now + backoffGrace, until: end})
 	}
 	if _, known := o.said.drainingSince[p]; said.Draining && !known {
 		o.said.drainingSince[p] = now
