--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -99,7 +99,7 @@
 	firstAccept  time.Duration               // when the first change was accepted
 	controlFault time.Duration               // end of the newest fault that may have stopped control
 	fleet        fleetOracle
-	said         saidOracle
+	said         signalOracle
 	limits       limitOracle
 	deadly       map[quarantine.Fingerprint]*fatalRequest
 	deadlies     int
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -65,14 +65,14 @@
 	requests    int
 }
 
-// saidOracle is what back ends were heard to say of themselves.
-type saidOracle struct {
+// signalOracle is what back ends were heard to say of themselves.
+type signalOracle struct {
 	backoffs      map[pair][]*backoffWindow
 	drainingSince map[pair]time.Duration // when it was first heard that the back end leaves
 }
 
-func newSaidOracle() saidOracle {
-	return saidOracle{backoffs: map[pair][]*backoffWindow{}, drainingSince: map[pair]time.Duration{}}
+func newSaidOracle() signalOracle {
+	return signalOracle{backoffs: map[pair][]*backoffWindow{}, drainingSince: map[pair]time.Duration{}}
 }
 
 // heard notes that a process has an answer in which a back end speaks of itself. Its clock may run fast.
