--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -71,7 +71,7 @@
 	drainingSince map[pair]time.Duration // when it was first heard that the back end leaves
 }
 
-func newSaidOracle() signalOracle {
+func newSignalOracle() signalOracle {
 	return signalOracle{backoffs: map[pair][]*backoffWindow{}, drainingSince: map[pair]time.Duration{}}
 }
 
