--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -75,8 +75,8 @@
 	return signalOracle{backoffs: map[pair][]*backoffWindow{}, drainingSince: map[pair]time.Duration{}}
 }
 
-// heard notes that a process has an answer in which a back end speaks of itself. Its clock may run fast.
-func (o *oracle) heard(p pair, said pushback.Signals) {
+// recordSignals notes that a process has an answer in which a back end speaks of itself. Its clock may run fast.
+func (o *oracle) recordSignals(p pair, said pushback.Signals) {
 	now := o.w.now()
 	if said.Backoff > 0 {
 		end := now + time.Duration(float64(said.Backoff)/(1+clockSkew))
@@ -113,7 +113,7 @@
 // not which life answered.
 func (g *fleetGateway) hear(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (turnedAway bool) {
 	said := pushback.Signals{Backoff: b.rejecting.requestedBackoff(g.w.now()), Draining: b.draining, Limit: b.advertised.limit(g.w.now())}
-	g.w.oracle.heard(pairOf(g.process, b.id), said)
+	g.w.oracle.recordSignals(pairOf(g.process, b.id), said)
 	g.signals.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), said, g.w.random.Float64())
 	if said.Limit.Advertised {
 		g.w.oracle.heardLimit(pairOf(g.process, b.id), b.advertised)
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -244,7 +244,7 @@
 			asker := pairOf(r.process, e.lifeName())
 			respond(func() {
 				said := pushback.Signals{Backoff: rest}
-				r.w.oracle.heard(asker, said)
+				r.w.oracle.recordSignals(asker, said)
 				r.refused(s, action, life, said)
 			})
 			return
