--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -37,7 +37,7 @@
 	if b == nil || !b.up || b.frozen {
 		return
 	}
-	g.w.oracle.sends(pairOf(g.process, b.id))
+	g.w.oracle.checkSend(pairOf(g.process, b.id))
 	g.w.oracle.sendsLimited(pairOf(g.process, b.id), b.advertised)
 	asked := g.clock()
 	if !b.isMeant(entry.ID) {
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// sends checks a request at the moment it is sent.
-func (o *oracle) sends(p pair) {
+// checkSend checks a request at the moment it is sent.
+func (o *oracle) checkSend(p pair) {
 	now := o.w.now()
 	for _, window := range o.said.backoffs[p] {
 		if now <= window.from || now >= window.until {
