--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -366,7 +366,7 @@
 
 // maySendTo reports whether a back end may get a request, but for its limit.
 func (g *fleetGateway) maySendTo(entry control.RosterEntry) bool {
-	return g.mayBeSent() && entry.State == catalog.StateReady && !entry.Loading && !g.startsTooLate(entry) && !g.barred(entry)
+	return g.mayBeSent() && entry.State == catalog.StateReady && !entry.Loading && !g.startsTooLate(entry) && !g.isRestricted(entry)
 }
 
 func (g *fleetGateway) sendTo(entry control.RosterEntry) {
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// barred reports whether the back end itself wants no request from this gateway.
-func (g *fleetGateway) barred(entry control.RosterEntry) bool {
+// isRestricted reports whether the back end itself wants no request from this gateway.
+func (g *fleetGateway) isRestricted(entry control.RosterEntry) bool {
 	bar, now := g.signals.Restriction(g.clock(), catalog.ParseInstanceID(entry.ID)), g.clock()
 	return bar.IsBackingOff(now) && g.w.guards.On(guard.BackoffCheck) || bar.Draining && g.w.guards.On(guard.LeavingSelfReported)
 }
