--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -43,7 +43,7 @@
 	if !b.isMeant(entry.ID) {
 		return // it refuses for that alone, and wants no rest for it
 	}
-	refused := g.hear(asked, entry, b) || b.version != entry.Versions[fleetModel] || g.w.now() < b.loadingUntil
+	refused := g.observeResponse(asked, entry, b) || b.version != entry.Versions[fleetModel] || g.w.now() < b.loadingUntil
 	if !refused {
 		g.w.oracle.fleetBegan(g.process.name, b)
 	}
