--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -58,8 +58,8 @@
 	return max(n.rate, n.later)
 }
 
-// planNeeds lets back ends be in need in half of all runs. Its chances are its own, so that the other runs are as they were without it.
-func (w *world) planNeeds() {
+// planAdvertisedLimits lets back ends be in need in half of all runs. Its chances are its own, so that the other runs are as they were without it.
+func (w *world) planAdvertisedLimits() {
 	w.limitRandom = rand.New(rand.NewPCG(w.seed, limitStream))
 	if w.seed/4%2 == 0 {
 		return
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -92,7 +92,7 @@
 		o.boot(i == 0)
 	}
 	w.planFaults()
-	w.planNeeds()
+	w.planAdvertisedLimits()
 	return w
 }
 
