--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -66,12 +66,12 @@
 	}
 	for range 1 + w.limitRandom.IntN(maxLimitPeriods) {
 		at := firstFault + time.Duration(w.limitRandom.Int64N(int64(lastFault-firstFault)))
-		w.after(at, w.beginNeed)
+		w.after(at, w.advertiseLimit)
 	}
 }
 
-// beginNeed lets one engine and one back end of the fleet, or all of them, name a limit for a while.
-func (w *world) beginNeed() {
+// advertiseLimit lets one engine and one back end of the fleet, or all of them, name a limit for a while.
+func (w *world) advertiseLimit() {
 	now := w.now()
 	made := limitPeriod{from: now, until: now + 6*time.Second + time.Duration(w.limitRandom.Int64N(int64(14*time.Second))), rate: 6 * w.limitRandom.Float64()}
 	made.later = made.rate
