--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -93,19 +93,19 @@
 	}
 }
 
-// limitedLife is what was sent to one life of a back end in one time of need, by processes that had heard of it.
-type limitedLife struct {
+// limitedIncarnation is what was sent to one life of a back end in one time of need, by processes that had heard of it.
+type limitedIncarnation struct {
 	heard map[string]time.Duration // when each process first heard of it
 	sends []time.Duration          // rising
 }
 
 // limitOracle is what back ends in need got. Its keys name a life and the start of its need.
-type limitOracle map[string]*limitedLife
+type limitOracle map[string]*limitedIncarnation
 
-func (l limitOracle) of(life string, n limitPeriod) *limitedLife {
+func (l limitOracle) of(life string, n limitPeriod) *limitedIncarnation {
 	key := fmt.Sprint(life, n.from)
 	if l[key] == nil {
-		l[key] = &limitedLife{heard: map[string]time.Duration{}}
+		l[key] = &limitedIncarnation{heard: map[string]time.Duration{}}
 	}
 	return l[key]
 }
