--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -110,8 +110,8 @@
 	return l[key]
 }
 
-// heardLimit notes that a process has an answer in which a back end names its limit.
-func (o *oracle) heardLimit(p pair, n limitPeriod) {
+// recordLimit notes that a process has an answer in which a back end names its limit.
+func (o *oracle) recordLimit(p pair, n limitPeriod) {
 	life := o.limits.of(p.backend, n)
 	if _, known := life.heard[p.sender]; !known {
 		life.heard[p.sender] = o.w.now()
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -116,7 +116,7 @@
 	g.w.oracle.recordSignals(pairOf(g.process, b.id), said)
 	g.signals.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), said, g.w.random.Float64())
 	if said.Limit.Advertised {
-		g.w.oracle.heardLimit(pairOf(g.process, b.id), b.advertised)
+		g.w.oracle.recordLimit(pairOf(g.process, b.id), b.advertised)
 	} else {
 		g.signals.ObserveNoLimit(g.clock(), sent, catalog.ParseInstanceID(entry.ID))
 	}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -253,7 +253,7 @@
 		inNeed, limit, asker := e.advertised, e.advertised.limit(e.w.now()), pairOf(r.process, e.lifeName())
 		respond(func() {
 			if limit.Advertised {
-				r.w.oracle.heardLimit(asker, inNeed)
+				r.w.oracle.recordLimit(asker, inNeed)
 				r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: pushback.Signals{Limit: limit}})
 			}
 			switch result {
