--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// sendsLimited checks a request at the moment it is sent to a back end.
-func (o *oracle) sendsLimited(p pair, n limitPeriod) {
+// checkLimitedSend checks a request at the moment it is sent to a back end.
+func (o *oracle) checkLimitedSend(p pair, n limitPeriod) {
 	now := o.w.now()
 	if !n.limit(now).Advertised {
 		return
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -38,7 +38,7 @@
 		return
 	}
 	g.w.oracle.checkSend(pairOf(g.process, b.id))
-	g.w.oracle.sendsLimited(pairOf(g.process, b.id), b.advertised)
+	g.w.oracle.checkLimitedSend(pairOf(g.process, b.id), b.advertised)
 	asked := g.clock()
 	if !b.isMeant(entry.ID) {
 		return // it refuses for that alone, and wants no rest for it
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -237,7 +237,7 @@
 	s := &sending{engine: e, request: run, attempt: action.Attempt, router: r, stream: r.w.newStream(e.process, r.process)}
 	r.sendings[action.Attempt] = s
 	r.w.oracle.checkSend(pairOf(r.process, e.lifeName()))
-	r.w.oracle.sendsLimited(pairOf(r.process, e.lifeName()), e.advertised)
+	r.w.oracle.checkLimitedSend(pairOf(r.process, e.lifeName()), e.advertised)
 	r.w.call(r.process, e.process, serviceLimit, func(respond func(func())) {
 		life := e.lives // that speaks, whichever was meant
 		if rest := e.shed.requestedBackoff(e.w.now()); rest > 0 {
