--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -359,7 +359,7 @@
 	if !g.mayBeSent() {
 		return
 	}
-	if entry := pick(g.w, g.roster); g.maySendTo(entry) && g.permitted(entry) {
+	if entry := pick(g.w, g.roster); g.maySendTo(entry) && g.hasLease(entry) {
 		g.sendTo(entry)
 	}
 }
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// permitted reports whether a gateway may send to a back end now for the limit that this names; else it asks for a part of it, and sends then.
-func (g *fleetGateway) permitted(entry control.RosterEntry) bool {
+// hasLease reports whether a gateway may send to a back end now for the limit that this names; else it asks for a part of it, and sends then.
+func (g *fleetGateway) hasLease(entry control.RosterEntry) bool {
 	limit, heard := g.signals.LimitObservedAt(catalog.ParseInstanceID(entry.ID))
 	if !limit.Advertised || !g.w.guards.On(guard.AdvertisedLimitCheck) {
 		return true
