--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -148,13 +148,13 @@
 		return hold.Valid(now)
 	}
 	if !g.requestingLease {
-		g.askPermit(entry, []allowance.Demand{{Name: name, Amount: 1, Advertised: &named}})
+		g.requestLease(entry, []allowance.Demand{{Name: name, Amount: 1, Advertised: &named}})
 	}
 	return false
 }
 
-// askPermit asks the leader for a part of a back end's limit, and sends there if there is one.
-func (g *fleetGateway) askPermit(entry control.RosterEntry, wants []allowance.Demand) {
+// requestLease asks the leader for a part of a back end's limit, and sends there if there is one.
+func (g *fleetGateway) requestLease(entry control.RosterEntry, wants []allowance.Demand) {
 	asked := g.clock()
 	question := g.leases.NewRequest(asked, wants)
 	g.requestingLease = true
