--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -166,7 +166,7 @@
 // sendBeat sends a heartbeat, or a sign where the leader has taken a whole one that told the same.
 func (b *fleetBackend) sendBeat(beat *control.BackendHeartbeat) {
 	request := b.request(beat)
-	if b.ackedState == toldOf(beat) && beat.Sequence%3 == 0 {
+	if b.ackedState == heartbeatState(beat) && beat.Sequence%3 == 0 {
 		request = control.Request{Keepalives: []control.Keepalive{{ID: beat.Instance.ID, Sequence: beat.Sequence}}}
 	}
 	b.asker.once(request, askTimeout, func(response control.Response, answered bool) {
@@ -174,13 +174,13 @@
 		case !answered || response.Kind != control.ResponseOK || len(response.UnknownBackends) > 0:
 			b.ackedState = ""
 		case len(request.Keepalives) == 0:
-			b.ackedState = toldOf(beat)
+			b.ackedState = heartbeatState(beat)
 		}
 	})
 }
 
-// toldOf names what a heartbeat tells beside its number.
-func toldOf(beat *control.BackendHeartbeat) string {
+// heartbeatState names what a heartbeat tells beside its number.
+func heartbeatState(beat *control.BackendHeartbeat) string {
 	return fmt.Sprint(beat.Instance.ID, beat.Instance.State, beat.Versions[fleetModel])
 }
 
