--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -139,8 +139,8 @@
 	return fmt.Sprintf("%s-%d", b.process.name, b.incarnations)
 }
 
-// isMeant reports whether a call that expects a life reaches this one: a back end knows its name alone.
-func (b *fleetBackend) isMeant(id string) bool {
+// matchesID reports whether a call that expects a life reaches this one: a back end knows its name alone.
+func (b *fleetBackend) matchesID(id string) bool {
 	return catalog.ParseInstanceID(id).Name == catalog.ParseInstanceID(b.id).Name
 }
 
@@ -219,7 +219,7 @@
 func (b *fleetBackend) take(call control.WeightsCall) control.WeightsResult {
 	loading := b.w.now() < b.loadingUntil
 	switch {
-	case !b.isMeant(call.Instance):
+	case !b.matchesID(call.Instance):
 		return control.WeightsResult{Kind: control.WeightsRejected}
 	case call.Kind == control.WeightsQuery:
 		return control.WeightsResult{Kind: control.WeightsReported, Versions: map[string]uint64{fleetModel: b.version}, Busy: loading, Revision: b.revision}
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -40,7 +40,7 @@
 	g.w.oracle.checkSend(pairOf(g.process, b.id))
 	g.w.oracle.checkLimitedSend(pairOf(g.process, b.id), b.advertised)
 	asked := g.clock()
-	if !b.isMeant(entry.ID) {
+	if !b.matchesID(entry.ID) {
 		return // it refuses for that alone, and wants no rest for it
 	}
 	refused := g.observeResponse(asked, entry, b) || b.version != entry.Versions[fleetModel] || g.w.now() < b.loadingUntil
