--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -127,7 +127,7 @@
 	if b.version > 1 && b.w.chance(olderWeightsRatio) {
 		b.version-- // it kept older weights than it was last seen with
 	}
-	b.ticker(fleetHeartbeatInterval, b.beat)
+	b.ticker(fleetHeartbeatInterval, b.heartbeat)
 	b.after(b.w.between(10*time.Second, 40*time.Second), b.drain)
 }
 
@@ -152,8 +152,8 @@
 	return catalog.Instance{ID: b.id, Service: fleetService, Address: b.process.name, Zone: b.zone, State: state}
 }
 
-// beat sends a heartbeat; some arrive seconds late.
-func (b *fleetBackend) beat() {
+// heartbeat sends a heartbeat; some arrive seconds late.
+func (b *fleetBackend) heartbeat() {
 	b.sequence++
 	beat := &control.BackendHeartbeat{Instance: b.instance(), Sequence: b.sequence, Versions: map[string]uint64{fleetModel: b.version}}
 	late := time.Duration(0)
