--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -160,11 +160,11 @@
 	if b.w.chance(0.05) {
 		late = b.w.between(0, 3*time.Second)
 	}
-	b.w.after(late, func() { b.sendBeat(beat) })
+	b.w.after(late, func() { b.sendHeartbeat(beat) })
 }
 
-// sendBeat sends a heartbeat, or a sign where the leader has taken a whole one that told the same.
-func (b *fleetBackend) sendBeat(beat *control.BackendHeartbeat) {
+// sendHeartbeat sends a heartbeat, or a sign where the leader has taken a whole one that told the same.
+func (b *fleetBackend) sendHeartbeat(beat *control.BackendHeartbeat) {
 	request := b.request(beat)
 	if b.ackedState == heartbeatState(beat) && beat.Sequence%3 == 0 {
 		request = control.Request{Keepalives: []control.Keepalive{{ID: beat.Instance.ID, Sequence: beat.Sequence}}}
