--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -215,8 +215,8 @@
 	})
 }
 
-// take carries out a call of a leader.
-func (b *fleetBackend) take(call control.WeightsCall) control.WeightsResult {
+// handleCall carries out a call of a leader.
+func (b *fleetBackend) handleCall(call control.WeightsCall) control.WeightsResult {
 	loading := b.w.now() < b.loadingUntil
 	switch {
 	case !b.matchesID(call.Instance):
@@ -252,12 +252,12 @@
 	if call.Kind == control.WeightsOrder && n.w.chance(0.15) {
 		n.after(time.Second, func() { report(control.WeightsResult{Kind: control.WeightsUnknown}) })
 		if n.w.chance(0.7) {
-			n.w.after(n.w.between(0, maxOrderDelay), func() { target.run(target.generation, func() { target.take(call) }) })
+			n.w.after(n.w.between(0, maxOrderDelay), func() { target.run(target.generation, func() { target.handleCall(call) }) })
 		}
 		return
 	}
 	n.w.call(n.process, target.process, time.Second, func(respond func(func())) {
-		result := target.take(call)
+		result := target.handleCall(call)
 		if result.Kind == control.WeightsAccepted {
 			n.w.oracle.tookOrder(call)
 		}
