--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -322,14 +322,14 @@
 	g.asker.once(control.Request{Watch: question}, askTimeout, func(response control.Response, answered bool) {
 		pause := askPause
 		if answered && response.Kind == control.ResponseOK && response.Watch != nil {
-			g.take(asked, told, response.Watch)
+			g.applyWatchReply(asked, told, response.Watch)
 			pause = time.Millisecond
 		}
 		g.after(pause, g.follow)
 	})
 }
 
-func (g *fleetGateway) take(asked time.Duration, told fleetFloor, reply *control.WatchReply) {
+func (g *fleetGateway) applyWatchReply(asked time.Duration, told fleetFloor, reply *control.WatchReply) {
 	g.w.oracle.watchAnswered(g.process.name, told, reply)
 	if reply.Document != nil && reply.Revision > g.revision {
 		g.revision = reply.Revision
