--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -303,14 +303,14 @@
 	g.leaseAsker = &asker{w: g.w, from: g.process}
 	g.w.oracle.fleet.publicationSeenAt[g.process.name] = map[uint64]time.Duration{}
 	g.w.oracle.fleet.usedRevision[g.process.name] = 0
-	g.follow()
+	g.watchControl()
 	g.ticker(fleetSendInterval, g.send)
 	g.endHot()
 }
 
 func (g *fleetGateway) clock() time.Duration { return g.elapsed(g.startedAt, g.w.now()) }
 
-func (g *fleetGateway) follow() {
+func (g *fleetGateway) watchControl() {
 	asked := g.clock()
 	told := g.w.oracle.fleetTold()
 	question := &control.Watch{
@@ -325,7 +325,7 @@
 			g.applyWatchReply(asked, told, response.Watch)
 			pause = time.Millisecond
 		}
-		g.after(pause, g.follow)
+		g.after(pause, g.watchControl)
 	})
 }
 
