--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -46,7 +46,7 @@
 
 // sendDeadly sends a deadly request as a gateway would, to a back end that then ends.
 func (g *fleetGateway) sendDeadly(f quarantine.Fingerprint) {
-	if !g.mayBeSent() || g.w.guards.On(guard.QuarantineCheck) && g.crashes.CrashCount(f) >= quarantine.QuarantineThreshold {
+	if !g.hasValidView() || g.w.guards.On(guard.QuarantineCheck) && g.crashes.CrashCount(f) >= quarantine.QuarantineThreshold {
 		return
 	}
 	entry := pick(g.w, g.roster)
@@ -138,7 +138,7 @@
 // endHot ends one run of the hot request well, and looks whether it is held back.
 func (g *fleetGateway) endHot() {
 	g.after(g.w.between(hotSoonest, hotLatest), g.endHot)
-	if !g.mayBeSent() {
+	if !g.hasValidView() {
 		return
 	}
 	if g.w.guards.On(guard.QuarantineCheck) && g.crashes.CrashCount(hotRequest) >= quarantine.QuarantineThreshold {
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -349,14 +349,14 @@
 	g.leases.RecordContact(asked, reply.Gateways)
 }
 
-// mayBeSent reports whether the gateway's view counts.
-func (g *fleetGateway) mayBeSent() bool {
+// hasValidView reports whether the gateway's view counts.
+func (g *fleetGateway) hasValidView() bool {
 	return g.confirmed > 0 && g.clock()-g.confirmed < fleetViewTTL && len(g.roster) > 0
 }
 
 // send picks a back end as a gateway would and tells the oracle.
 func (g *fleetGateway) send() {
-	if !g.mayBeSent() {
+	if !g.hasValidView() {
 		return
 	}
 	if entry := pick(g.w, g.roster); g.maySendTo(entry) && g.hasLease(entry) {
@@ -366,7 +366,7 @@
 
 // maySendTo reports whether a back end may get a request, but for its limit.
 func (g *fleetGateway) maySendTo(entry control.RosterEntry) bool {
-	return g.mayBeSent() && entry.State == catalog.StateReady && !entry.Loading && !g.startsTooLate(entry) && !g.isRestricted(entry)
+	return g.hasValidView() && entry.State == catalog.StateReady && !entry.Loading && !g.startsTooLate(entry) && !g.isRestricted(entry)
 }
 
 func (g *fleetGateway) sendTo(entry control.RosterEntry) {
