--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -46,7 +46,7 @@
 	o.start()
 	o.asker = newAsker(o.w, o.process)
 	o.after(o.w.between(2*time.Second, 5*time.Second), o.replace)
-	o.after(o.w.between(6*time.Second, 12*time.Second), o.nameWeights)
+	o.after(o.w.between(6*time.Second, 12*time.Second), o.publishWeightsPeriodically)
 }
 
 // replace sends a document a few revisions above the newest one that anybody was told of, so that two operators may use
@@ -80,11 +80,11 @@
 	})
 }
 
-func (o *fleetOperator) nameWeights() {
+func (o *fleetOperator) publishWeightsPeriodically() {
 	if o.w.now() > activeTime {
 		return
 	}
-	o.after(o.w.between(4*time.Second, 14*time.Second), o.nameWeights)
+	o.after(o.w.between(4*time.Second, 14*time.Second), o.publishWeightsPeriodically)
 	o.nameWeightsNow()
 }
 
