--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -85,10 +85,10 @@
 		return
 	}
 	o.after(o.w.between(4*time.Second, 14*time.Second), o.publishWeightsPeriodically)
-	o.nameWeightsNow()
+	o.publishWeights()
 }
 
-func (o *fleetOperator) nameWeightsNow() {
+func (o *fleetOperator) publishWeights() {
 	version := o.w.oracle.fleet.lastPublishedSent + 1
 	o.w.oracle.nameSent(version)
 	request := control.Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: fleetModel, Version: version}}}
--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -39,7 +39,7 @@
 // faultStallOrder stalls the disk of a leader between the decision and the send of an order, once weights are named.
 func (w *world) faultStallOrder() {
 	w.mischief.stallsOrder = true
-	pick(w, w.fleetOperators).nameWeightsNow()
+	pick(w, w.fleetOperators).publishWeights()
 }
 
 // faultCutThenKill cuts a replica off while changes are made, heals the cut, and kills the others at once: what they
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -133,7 +133,7 @@
 			}
 		}
 	})
-	pick(w, w.fleetOperators).nameWeightsNow()
+	pick(w, w.fleetOperators).publishWeights()
 }
 
 func (w *world) restartAllControl() {
