--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -86,7 +86,7 @@
 		Level: n.build,
 		ID:    n.identity.ID, Name: n.name, Address: n.name, Timing: controlTiming, Replicas: groupSize,
 		SettingsLease: settingsLease, RepairAfter: repairAfter, SnapshotEvery: snapshotEvery,
-		WeightsOrderDelay: fleetOrderDelay, GatewayViewTTL: fleetViewTTL, Zone: n.zone, MaxDirectGateways: n.w.relayAbove(),
+		WeightsOrderDelay: fleetOrderDelay, GatewayViewTTL: fleetViewTTL, Zone: n.zone, MaxDirectGateways: n.w.maxDirectGateways(),
 		Guards: n.w.guards, Random: n.w.random.Int64N,
 	}
 	replica, err := control.NewReplica(config, cloneCheckpoint(n.disk), 0)
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -374,8 +374,8 @@
 	g.begin(entry)
 }
 
-// relayAbove is how many gateways the leader answers by itself: all, or none in every other run.
-func (w *world) relayAbove() int {
+// maxDirectGateways is how many gateways the leader answers by itself: all, or none in every other run.
+func (w *world) maxDirectGateways() int {
 	if w.relaysWatches {
 		return 0
 	}
