--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -329,7 +329,7 @@
 	})
 }
 
-func (g *fleetGateway) applyWatchReply(asked time.Duration, told fleetFloor, reply *control.WatchReply) {
+func (g *fleetGateway) applyWatchReply(asked time.Duration, told watchFloor, reply *control.WatchReply) {
 	g.w.oracle.watchAnswered(g.process.name, told, reply)
 	if reply.Document != nil && reply.Revision > g.revision {
 		g.revision = reply.Revision
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -38,14 +38,14 @@
 	}
 }
 
-// fleetFloor is what had been told when a question was asked; no answer may be older.
-type fleetFloor struct {
+// watchFloor is what had been told when a question was asked; no answer may be older.
+type watchFloor struct {
 	revision uint64
 	at       time.Duration
 }
 
-func (o *oracle) fleetTold() fleetFloor {
-	return fleetFloor{revision: o.fleet.acknowledged, at: o.w.now()}
+func (o *oracle) fleetTold() watchFloor {
+	return watchFloor{revision: o.fleet.acknowledged, at: o.w.now()}
 }
 
 func (o *oracle) documentAcknowledged(revision uint64) {
@@ -53,7 +53,7 @@
 }
 
 // watchAnswered checks a confirmed view: it must hold everything that was acknowledged before it was asked for.
-func (o *oracle) watchAnswered(gateway string, floor fleetFloor, reply *control.WatchReply) {
+func (o *oracle) watchAnswered(gateway string, floor watchFloor, reply *control.WatchReply) {
 	if reply.Revision < floor.revision {
 		o.fail(SettingsHold, "%s was confirmed revision %d after %d had been acknowledged", gateway, reply.Revision, floor.revision)
 	}
