--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -312,7 +312,7 @@
 
 func (g *fleetGateway) watchControl() {
 	asked := g.clock()
-	told := g.w.oracle.fleetTold()
+	told := g.w.oracle.currentFloor()
 	question := &control.Watch{
 		Gateway: g.process.name, Zone: g.zone, Revision: g.revision, Roster: g.version, Hold: fleetHold, Quarantine: g.crashes.Version(),
 	}
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -44,7 +44,7 @@
 	at       time.Duration
 }
 
-func (o *oracle) fleetTold() watchFloor {
+func (o *oracle) currentFloor() watchFloor {
 	return watchFloor{revision: o.fleet.acknowledged, at: o.w.now()}
 }
 
