--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -71,7 +71,7 @@
 	request := control.Request{Catalog: &catalog.Command{Replace: &document}}
 	o.asker.once(request, askTimeout, func(response control.Response, answered bool) {
 		if answered && response.Catalog != nil && !o.w.chance(lostAnswer) {
-			o.w.oracle.documentAcknowledged(document.Revision)
+			o.w.oracle.recordDocumentAck(document.Revision)
 			return
 		}
 		if left > 0 {
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -48,7 +48,7 @@
 	return watchFloor{revision: o.fleet.acknowledged, at: o.w.now()}
 }
 
-func (o *oracle) documentAcknowledged(revision uint64) {
+func (o *oracle) recordDocumentAck(revision uint64) {
 	o.fleet.acknowledged = max(o.fleet.acknowledged, revision)
 }
 
