--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -330,7 +330,7 @@
 }
 
 func (g *fleetGateway) applyWatchReply(asked time.Duration, told watchFloor, reply *control.WatchReply) {
-	g.w.oracle.watchAnswered(g.process.name, told, reply)
+	g.w.oracle.checkWatchReply(g.process.name, told, reply)
 	if reply.Document != nil && reply.Revision > g.revision {
 		g.revision = reply.Revision
 		g.w.oracle.documentSeen(g.process.name, *reply.Document)
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -52,8 +52,8 @@
 	o.fleet.acknowledged = max(o.fleet.acknowledged, revision)
 }
 
-// watchAnswered checks a confirmed view: it must hold everything that was acknowledged before it was asked for.
-func (o *oracle) watchAnswered(gateway string, floor watchFloor, reply *control.WatchReply) {
+// checkWatchReply checks a confirmed view: it must hold everything that was acknowledged before it was asked for.
+func (o *oracle) checkWatchReply(gateway string, floor watchFloor, reply *control.WatchReply) {
 	if reply.Revision < floor.revision {
 		o.fail(SettingsHold, "%s was confirmed revision %d after %d had been acknowledged", gateway, reply.Revision, floor.revision)
 	}
