--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -333,7 +333,7 @@
 	g.w.oracle.checkWatchReply(g.process.name, told, reply)
 	if reply.Document != nil && reply.Revision > g.revision {
 		g.revision = reply.Revision
-		g.w.oracle.documentSeen(g.process.name, *reply.Document)
+		g.w.oracle.checkDocument(g.process.name, *reply.Document)
 	}
 	before := g.roster
 	if reply.Roster != nil {
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// documentSeen checks that a revision has one content and that no life of a gateway goes back.
-func (o *oracle) documentSeen(gateway string, document catalog.Document) {
+// checkDocument checks that a revision has one content and that no life of a gateway goes back.
+func (o *oracle) checkDocument(gateway string, document catalog.Document) {
 	content := document.Services[0].Name
 	known, seen := o.fleet.contents[document.Revision]
 	if seen && known != content {
