--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -243,7 +243,7 @@
 		return
 	}
 	if call.Kind == control.WeightsOrder {
-		n.w.oracle.ordered(n, call)
+		n.w.oracle.checkOrder(n, call)
 	}
 	report := func(result control.WeightsResult) {
 		result.Call = call
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -82,8 +82,8 @@
 	o.fleet.usedRevision[gateway] = document.Revision
 }
 
-// ordered checks that holders do not take turns, and remembers the order.
-func (o *oracle) ordered(issuer *controlNode, call control.WeightsCall) {
+// checkOrder checks that holders do not take turns, and remembers the order.
+func (o *oracle) checkOrder(issuer *controlNode, call control.WeightsCall) {
 	before, known := o.fleet.orders[call.Instance]
 	now := o.w.now()
 	if known && before.holder != issuer.identity.ID && now-before.at < holderWindow {
