--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -259,7 +259,7 @@
 	n.w.call(n.process, target.process, time.Second, func(respond func(func())) {
 		result := target.handleCall(call)
 		if result.Kind == control.WeightsAccepted {
-			n.w.oracle.tookOrder(call)
+			n.w.oracle.recordLoadStart(call)
 		}
 		respond(func() { report(result) })
 	}, func(bool) {
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -92,8 +92,8 @@
 	o.fleet.orders[call.Instance] = issuedOrder{at: now, holder: issuer.identity.ID, issuer: issuer, term: issuer.replica.Node().Term()}
 }
 
-// tookOrder notes that a back end begins to load.
-func (o *oracle) tookOrder(call control.WeightsCall) {
+// recordLoadStart notes that a back end begins to load.
+func (o *oracle) recordLoadStart(call control.WeightsCall) {
 	order := o.fleet.orders[call.Instance]
 	order.at = o.w.now()
 	o.fleet.loads[call.Instance] = order
