--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -263,7 +263,7 @@
 		}
 		respond(func() { report(result) })
 	}, func(bool) {
-		n.w.oracle.answerLost(call)
+		n.w.oracle.recordLostReply(call)
 		report(control.WeightsResult{Kind: control.WeightsUnknown})
 	})
 }
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -99,9 +99,9 @@
 	o.fleet.loads[call.Instance] = order
 }
 
-// answerLost notes that the leader does not know whether its order was taken. Requests then go on by design, and name the
+// recordLostReply notes that the leader does not know whether its order was taken. Requests then go on by design, and name the
 // weights that they count on; the back end refuses them if it holds others.
-func (o *oracle) answerLost(call control.WeightsCall) { delete(o.fleet.loads, call.Instance) }
+func (o *oracle) recordLostReply(call control.WeightsCall) { delete(o.fleet.loads, call.Instance) }
 
 // fleetSent checks a gateway's send: while the leader that ordered new weights goes on leading, no gateway whose view
 // counts sends to the back end that is about to load.
