--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -370,7 +370,7 @@
 }
 
 func (g *fleetGateway) sendTo(entry control.RosterEntry) {
-	g.w.oracle.fleetSent(g.process.name, entry.ID)
+	g.w.oracle.checkFleetSend(g.process.name, entry.ID)
 	g.begin(entry)
 }
 
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -103,9 +103,9 @@
 // weights that they count on; the back end refuses them if it holds others.
 func (o *oracle) recordLostReply(call control.WeightsCall) { delete(o.fleet.loads, call.Instance) }
 
-// fleetSent checks a gateway's send: while the leader that ordered new weights goes on leading, no gateway whose view
+// checkFleetSend checks a gateway's send: while the leader that ordered new weights goes on leading, no gateway whose view
 // counts sends to the back end that is about to load.
-func (o *oracle) fleetSent(gateway, instance string) {
+func (o *oracle) checkFleetSend(gateway, instance string) {
 	order, known := o.fleet.loads[instance]
 	if !known || o.w.now()-order.at > sendWindow || o.w.now() <= order.at {
 		return
