--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// checkFleetRest checks that after the faults everything acknowledged is in force everywhere.
-func (o *oracle) checkFleetRest() {
+// checkFleetSettled checks that after the faults everything acknowledged is in force everywhere.
+func (o *oracle) checkFleetSettled() {
 	for _, g := range o.w.gateways {
 		if g.revision < o.fleet.acknowledged {
 			o.fail(SettingsHold, "%s rests at revision %d, %d was acknowledged", g.process.name, g.revision, o.fleet.acknowledged)
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -49,7 +49,7 @@
 	}
 	w.clock.Set(RunLength)
 	w.oracle.checkRest()
-	w.oracle.checkFleetRest()
+	w.oracle.checkFleetSettled()
 	return Result{
 		Seed: w.seed, Violation: w.oracle.violation, Faults: w.faults, Requests: w.oracle.requests,
 		Complete: w.oracle.complete, Changes: w.oracle.changes, Accepted: w.oracle.accepted,
