--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// fleetLimit is how long after newer weights were named a request may begin on older ones.
-	fleetLimit = 4 * time.Second
+	// oldWeightsStartLimit is how long after newer weights were named a request may begin on older ones.
+	oldWeightsStartLimit = 4 * time.Second
 	// limitSlack is what clocks cost: leader and gateway count the limit by clocks that run up to clockSkew slow.
-	limitSlack = fleetLimit / 19 // 0.05 / 0.95
+	limitSlack = oldWeightsStartLimit / 19 // 0.05 / 0.95
 	// dayRounding is what times of day in whole milliseconds cost, at the proposer and at the leader.
 	dayRounding = 2 * time.Millisecond
 )
@@ -28,7 +28,7 @@
 func (g *fleetGateway) startsTooLate(entry control.RosterEntry) bool {
 	held, known := entry.Versions[fleetModel]
 	namedAt, lacks := g.publishTimes.OldestMissing(fleetModel, held)
-	return !known || lacks && g.clock() >= namedAt+fleetLimit
+	return !known || lacks && g.clock() >= namedAt+oldWeightsStartLimit
 }
 
 // begin begins a request that names the weights it counts on, unless the back end refuses it.
@@ -98,11 +98,11 @@
 			continue
 		}
 		day := naming.maxSkew - naming.lowest + dayRounding
-		if late := now - naming.ackedAt - fleetLimit - limitSlack - day; naming.acked && late > 0 {
+		if late := now - naming.ackedAt - oldWeightsStartLimit - limitSlack - day; naming.acked && late > 0 {
 			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-naming.ackedAt, version)
 		}
 		heard, told := o.fleet.publicationSeenAt[gateway][version]
-		if late := now - heard - fleetLimit - limitSlack; told && late > 0 {
+		if late := now - heard - oldWeightsStartLimit - limitSlack; told && late > 0 {
 			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after it heard of %d", gateway, b.version, b.id, now-heard, version)
 		}
 	}
