--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -11,8 +11,8 @@
 	oldWeightsStartLimit = 4 * time.Second
 	// clockSlack is what clocks cost: leader and gateway count the limit by clocks that run up to clockSkew slow.
 	clockSlack = oldWeightsStartLimit / 19 // 0.05 / 0.95
-	// dayRounding is what times of day in whole milliseconds cost, at the proposer and at the leader.
-	dayRounding = 2 * time.Millisecond
+	// wallClockRounding is what times of day in whole milliseconds cost, at the proposer and at the leader.
+	wallClockRounding = 2 * time.Millisecond
 )
 
 // publication is a version that an operator names.
@@ -97,7 +97,7 @@
 		if version <= b.version {
 			continue
 		}
-		day := naming.maxSkew - naming.lowest + dayRounding
+		day := naming.maxSkew - naming.lowest + wallClockRounding
 		if late := now - naming.ackedAt - oldWeightsStartLimit - clockSlack - day; naming.acked && late > 0 {
 			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-naming.ackedAt, version)
 		}
