--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -371,7 +371,7 @@
 
 func (g *fleetGateway) sendTo(entry control.RosterEntry) {
 	g.w.oracle.checkFleetSend(g.process.name, entry.ID)
-	g.begin(entry)
+	g.startRequest(entry)
 }
 
 // maxDirectGateways is how many gateways the leader answers by itself: all, or none in every other run.
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -31,8 +31,8 @@
 	return !known || lacks && g.clock() >= namedAt+oldWeightsStartLimit
 }
 
-// begin begins a request that names the weights it counts on, unless the back end refuses it.
-func (g *fleetGateway) begin(entry control.RosterEntry) {
+// startRequest begins a request that names the weights it counts on, unless the back end refuses it.
+func (g *fleetGateway) startRequest(entry control.RosterEntry) {
 	b := g.w.fleetBackend(entry.Address)
 	if b == nil || !b.up || b.frozen {
 		return
