--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -90,7 +90,7 @@
 
 func (o *fleetOperator) publishWeights() {
 	version := o.w.oracle.fleet.lastPublishedSent + 1
-	o.w.oracle.nameSent(version)
+	o.w.oracle.recordPublishSent(version)
 	request := control.Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: fleetModel, Version: version}}}
 	o.asker.ask(request, o.w.now()+20*time.Second, func(_ control.Response, decided bool) {
 		if decided {
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// nameSent notes that a version is about to be named.
-func (o *oracle) nameSent(version uint64) {
+// recordPublishSent notes that a version is about to be named.
+func (o *oracle) recordPublishSent(version uint64) {
 	o.fleet.lastPublishedSent = version
 	o.fleet.publications[version] = &publication{maxSkew: o.w.controls[0].wallSkew, lowest: o.w.controls[0].wallSkew}
 	o.dayMoved()
