--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -94,7 +94,7 @@
 	request := control.Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: fleetModel, Version: version}}}
 	o.asker.ask(request, o.w.now()+20*time.Second, func(_ control.Response, decided bool) {
 		if decided {
-			o.w.oracle.nameAcknowledged(version)
+			o.w.oracle.recordPublishAck(version)
 		}
 	})
 }
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -56,8 +56,8 @@
 	o.dayMoved()
 }
 
-// nameAcknowledged notes that an operator was told that a version is named.
-func (o *oracle) nameAcknowledged(version uint64) {
+// recordPublishAck notes that an operator was told that a version is named.
+func (o *oracle) recordPublishAck(version uint64) {
 	naming := o.fleet.publications[version]
 	naming.acked, naming.ackedAt = true, o.w.now()
 	o.fleet.lastPublishedAcked = max(o.fleet.lastPublishedAcked, version)
