--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -377,7 +377,7 @@
 
 func (w *world) faultClockJump() {
 	pick(w, w.controls).wallSkew += w.between(-10*time.Minute, 10*time.Minute)
-	w.oracle.dayMoved()
+	w.oracle.updateWallSkews()
 }
 
 func (w *world) faultShiftHotPrefix() { w.callers.hot += 3 }
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -53,7 +53,7 @@
 func (o *oracle) recordPublishSent(version uint64) {
 	o.fleet.lastPublishedSent = version
 	o.fleet.publications[version] = &publication{maxSkew: o.w.controls[0].wallSkew, lowest: o.w.controls[0].wallSkew}
-	o.dayMoved()
+	o.updateWallSkews()
 }
 
 // recordPublishAck notes that an operator was told that a version is named.
@@ -68,8 +68,8 @@
 	}
 }
 
-// dayMoved takes up the replicas' times of day.
-func (o *oracle) dayMoved() {
+// updateWallSkews takes up the replicas' times of day.
+func (o *oracle) updateWallSkews() {
 	for _, naming := range o.fleet.publications {
 		for _, n := range o.w.controls {
 			naming.lowest = min(naming.lowest, n.wallSkew)
@@ -147,7 +147,7 @@
 	n.die(w.chance(0.5))
 	if w.chance(0.3) {
 		n.wallSkew -= w.between(time.Second, 20*time.Second)
-		w.oracle.dayMoved()
+		w.oracle.updateWallSkews()
 	}
 	w.restartControl(n, w.between(200*time.Millisecond, 800*time.Millisecond))
 }
