--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -344,7 +344,7 @@
 	}
 	g.takeQuarantine(reply, before)
 	g.publishTimes.Update(g.clock(), asked, reply.Version.Term, reply.Publications)
-	g.w.oracle.namingsTold(g.process.name, reply.Publications)
+	g.w.oracle.recordPublicationsSeen(g.process.name, reply.Publications)
 	g.version, g.confirmed = reply.Version, asked
 	g.leases.RecordContact(asked, reply.Gateways)
 }
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// namingsTold notes when a gateway first heard of each naming, in its current life.
-func (o *oracle) namingsTold(gateway string, wanted []control.WeightsPublication) {
+// recordPublicationsSeen notes when a gateway first heard of each naming, in its current life.
+func (o *oracle) recordPublicationsSeen(gateway string, wanted []control.WeightsPublication) {
 	for _, w := range wanted {
 		if _, told := o.fleet.publicationSeenAt[gateway][w.Version]; !told {
 			o.fleet.publicationSeenAt[gateway][w.Version] = o.w.now()
