--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -45,7 +45,7 @@
 	}
 	refused := g.observeResponse(asked, entry, b) || b.version != entry.Versions[fleetModel] || g.w.now() < b.loadingUntil
 	if !refused {
-		g.w.oracle.fleetBegan(g.process.name, b)
+		g.w.oracle.checkRequestStart(g.process.name, b)
 	}
 }
 
@@ -89,9 +89,9 @@
 	}
 }
 
-// fleetBegan checks that a request begins in time: within the limit after a newer version was acknowledged, give or take what clocks
+// checkRequestStart checks that a request begins in time: within the limit after a newer version was acknowledged, give or take what clocks
 // cost, and, whatever times of day did, within the limit after this gateway first heard of one.
-func (o *oracle) fleetBegan(gateway string, b *fleetBackend) {
+func (o *oracle) checkRequestStart(gateway string, b *fleetBackend) {
 	now := o.w.now()
 	for version, naming := range o.fleet.publications {
 		if version <= b.version {
