--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -118,11 +118,11 @@
 		w.onPublished = append(w.onPublished, func() { w.after(w.between(0, away), w.restartAllControl) })
 	case w.chance(0.5):
 		w.after(away, w.cutZone(late.zone))
-		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.loseLeader(leader) })
+		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.restartReplica(leader) })
 	default:
 		late.freeze()
 		w.after(away, late.resume)
-		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.loseLeader(leader) })
+		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.restartReplica(leader) })
 	}
 	w.recordControlDisturbance(2 * away)
 	w.onPublished = append(w.onPublished, func() {
@@ -138,12 +138,12 @@
 
 func (w *world) restartAllControl() {
 	for _, n := range w.controls {
-		w.loseLeader(n)
+		w.restartReplica(n)
 	}
 }
 
-// loseLeader ends a replica, which starts again soon, some with their time of day set back.
-func (w *world) loseLeader(n *controlNode) {
+// restartReplica ends a replica, which starts again soon, some with their time of day set back.
+func (w *world) restartReplica(n *controlNode) {
 	n.die(w.chance(0.5))
 	if w.chance(0.3) {
 		n.wallSkew -= w.between(time.Second, 20*time.Second)
