--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -12,8 +12,8 @@
 const (
 	// newBuild is what this build's successor will know.
 	newBuild = level.Current + 1
-	// newBuildShare is how often a start takes the newer of two builds, where both are played.
-	newBuildShare = 0.7
+	// newBuildRatio is how often a start takes the newer of two builds, where both are played.
+	newBuildRatio = 0.7
 	// replacedEach is how often a control process is ended to come back as one of both builds, beside all faults: several times before a level
 	// comes into force, and after it.
 	replacedEach = 4 * time.Second
@@ -58,7 +58,7 @@
 	switch {
 	case w.buildRandom == nil:
 		return level.Unannounced
-	case w.buildRandom.Float64() < newBuildShare:
+	case w.buildRandom.Float64() < newBuildRatio:
 		return newBuild
 	}
 	return level.Current
