--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -14,11 +14,11 @@
 	newBuild = level.Current + 1
 	// newBuildRatio is how often a start takes the newer of two builds, where both are played.
 	newBuildRatio = 0.7
-	// replacedEach is how often a control process is ended to come back as one of both builds, beside all faults: several times before a level
+	// replaceInterval is how often a control process is ended to come back as one of both builds, beside all faults: several times before a level
 	// comes into force, and after it.
-	replacedEach = 4 * time.Second
-	replaceDelay = 50 * time.Millisecond // how long that takes; it counts as trouble of control like every other end of one of its processes
-	buildStream  = 18
+	replaceInterval = 4 * time.Second
+	replaceDelay    = 50 * time.Millisecond // how long that takes; it counts as trouble of control like every other end of one of its processes
+	buildStream     = 18
 	// raiseSlack is how long a build may have run when a level comes into force that it doesn't know: the leader takes a member's word for a second,
 	// and the entry takes a moment.
 	raiseSlack = 3 * time.Second
@@ -38,7 +38,7 @@
 		return
 	}
 	w.buildRandom = rand.New(rand.NewPCG(w.seed, buildStream))
-	for at := firstFault; at < lastFault; at += replacedEach {
+	for at := firstFault; at < lastFault; at += replaceInterval {
 		w.after(at, w.replaceControl)
 	}
 }
