--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -19,9 +19,9 @@
 	replaceInterval = 4 * time.Second
 	replaceDelay    = 50 * time.Millisecond // how long that takes; it counts as trouble of control like every other end of one of its processes
 	buildStream     = 18
-	// raiseSlack is how long a build may have run when a level comes into force that it doesn't know: the leader takes a member's word for a second,
+	// levelRaiseGrace is how long a build may have run when a level comes into force that it doesn't know: the leader takes a member's word for a second,
 	// and the entry takes a moment.
-	raiseSlack = 3 * time.Second
+	levelRaiseGrace = 3 * time.Second
 )
 
 // levelInForce is the level in force, as the first process that holds it sees it.
@@ -90,7 +90,7 @@
 	err := n.replica.Err()
 	_, member := n.w.raised.members.Find(n.identity.ID)
 	switch {
-	case err != nil && member && n.startedAt+raiseSlack < n.w.raised.at:
+	case err != nil && member && n.startedAt+levelRaiseGrace < n.w.raised.at:
 		n.w.oracle.fail(BuildsKnown, "%s of level %d had run for %v when level %d came into force", n.name, n.build, n.w.raised.at-n.startedAt, n.w.raised.level)
 	case err != nil:
 		n.replaceTooOld(err)
