--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -64,8 +64,8 @@
 	return level.Current
 }
 
-// replaceTooOld lets a control process that is too old for its own files, or for the group, come back as the newer build.
-func (n *controlNode) replaceTooOld(err error) {
+// restartWithNewBuild lets a control process that is too old for its own files, or for the group, come back as the newer build.
+func (n *controlNode) restartWithNewBuild(err error) {
 	if !errors.Is(err, level.ErrTooOld) || n.build == newBuild {
 		n.w.oracle.fail(BuildsKnown, "%s of level %d: %v", n.name, n.build, err)
 		return
@@ -93,7 +93,7 @@
 	case err != nil && member && n.startedAt+levelRaiseGrace < n.w.raised.at:
 		n.w.oracle.fail(BuildsKnown, "%s of level %d had run for %v when level %d came into force", n.name, n.build, n.w.raised.at-n.startedAt, n.w.raised.level)
 	case err != nil:
-		n.replaceTooOld(err)
+		n.restartWithNewBuild(err)
 	case held > n.build:
 		n.w.oracle.fail(BuildsKnown, "%s of level %d runs on a state of level %d", n.name, n.build, held)
 	}
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -91,7 +91,7 @@
 	}
 	replica, err := control.NewReplica(config, cloneCheckpoint(n.disk), 0)
 	if errors.Is(err, level.ErrTooOld) {
-		n.replaceTooOld(err)
+		n.restartWithNewBuild(err)
 		return
 	}
 	if err != nil {
