--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// deadlyLength is how long a request that ends whoever runs it comes again, at most so often.
-	deadlyLength            = 25 * time.Second
+	// fatalDuration is how long a request that ends whoever runs it comes again, at most so often.
+	fatalDuration           = 25 * time.Second
 	fatalMinInterval        = 30 * time.Millisecond
 	fatalMaxInterval        = 900 * time.Millisecond
 	quarantineReportTimeout = 20 * time.Second
@@ -31,7 +31,7 @@
 func (w *world) faultFatalRequest() {
 	w.oracle.deadlies++
 	f := quarantine.Fingerprint{byte(w.oracle.deadlies), 'd'}
-	until := min(w.now()+deadlyLength, activeTime)
+	until := min(w.now()+fatalDuration, activeTime)
 	var come func()
 	come = func() {
 		if w.now() > until {
