--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -15,10 +15,10 @@
 	fatalMinInterval        = 30 * time.Millisecond
 	fatalMaxInterval        = 900 * time.Millisecond
 	quarantineReportTimeout = 20 * time.Second
-	// deadlyContact is how long control and a gateway must have been well for what the gateway sends to count, and deadlyMore how many
+	// quarantineContactTime is how long control and a gateway must have been well for what the gateway sends to count, and deadlyMore how many
 	// sends beyond the third life may count.
-	deadlyContact = 4 * time.Second
-	deadlyMore    = 3
+	quarantineContactTime = 4 * time.Second
+	deadlyMore            = 3
 	// hotSoonest and hotLatest are the pauses between the ends of a request that many callers send at once, at one gateway.
 	hotSoonest = 500 * time.Millisecond
 	hotLatest  = 4 * time.Second
@@ -164,7 +164,7 @@
 		o.deadly[f] = d
 	}
 	now := o.w.now()
-	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thirdAt)+deadlyContact
+	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thirdAt)+quarantineContactTime
 	if d.crashes >= quarantine.QuarantineThreshold && well {
 		if d.excessSends++; d.excessSends > deadlyMore {
 			o.fail(HeldBackTrue, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.crashes, now-d.thirdAt)
