--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -18,7 +18,7 @@
 	// quarantineContactTime is how long control and a gateway must have been well for what the gateway sends to count, and deadlyMore how many
 	// sends beyond the third life may count.
 	quarantineContactTime = 4 * time.Second
-	deadlyMore            = 3
+	maxFatalSends         = 3
 	// hotSoonest and hotLatest are the pauses between the ends of a request that many callers send at once, at one gateway.
 	hotSoonest = 500 * time.Millisecond
 	hotLatest  = 4 * time.Second
@@ -166,7 +166,7 @@
 	now := o.w.now()
 	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thirdAt)+quarantineContactTime
 	if d.crashes >= quarantine.QuarantineThreshold && well {
-		if d.excessSends++; d.excessSends > deadlyMore {
+		if d.excessSends++; d.excessSends > maxFatalSends {
 			o.fail(HeldBackTrue, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.crashes, now-d.thirdAt)
 		}
 	}
