--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -21,7 +21,7 @@
 	maxFatalSends         = 3
 	// hotMinInterval and hotLatest are the pauses between the ends of a request that many callers send at once, at one gateway.
 	hotMinInterval = 500 * time.Millisecond
-	hotLatest      = 4 * time.Second
+	hotMaxInterval = 4 * time.Second
 )
 
 // hotRequest ends well wherever it isn't cut off by the end of its back end.
@@ -137,7 +137,7 @@
 
 // endHot ends one run of the hot request well, and looks whether it is held back.
 func (g *fleetGateway) endHot() {
-	g.after(g.w.between(hotMinInterval, hotLatest), g.endHot)
+	g.after(g.w.between(hotMinInterval, hotMaxInterval), g.endHot)
 	if !g.hasValidView() {
 		return
 	}
