--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -38,14 +38,14 @@
 			return
 		}
 		g := pick(w, w.gateways)
-		g.run(g.generation, func() { g.sendDeadly(f) })
+		g.run(g.generation, func() { g.sendFatal(f) })
 		w.after(w.between(fatalMinInterval, fatalMaxInterval), come)
 	}
 	come()
 }
 
-// sendDeadly sends a deadly request as a gateway would, to a back end that then ends.
-func (g *fleetGateway) sendDeadly(f quarantine.Fingerprint) {
+// sendFatal sends a deadly request as a gateway would, to a back end that then ends.
+func (g *fleetGateway) sendFatal(f quarantine.Fingerprint) {
 	if !g.hasValidView() || g.w.guards.On(guard.QuarantineCheck) && g.crashes.CrashCount(f) >= quarantine.QuarantineThreshold {
 		return
 	}
