--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -69,12 +69,12 @@
 		if w.chance(0.5) {
 			runs = append(runs, hotRequest)
 		}
-		g.after(w.between(time.Millisecond, 5*time.Millisecond), func() { g.brokeOff(b, life, silent, runs) })
+		g.after(w.between(time.Millisecond, 5*time.Millisecond), func() { g.recordBrokenRuns(b, life, silent, runs) })
 	}
 }
 
-// brokeOff notes runs that broke off, and looks whether their back end has ended: an address of a machine without power says nothing.
-func (g *fleetGateway) brokeOff(b *fleetBackend, life string, silent bool, runs []quarantine.Fingerprint) {
+// recordBrokenRuns notes runs that broke off, and looks whether their back end has ended: an address of a machine without power says nothing.
+func (g *fleetGateway) recordBrokenRuns(b *fleetBackend, life string, silent bool, runs []quarantine.Fingerprint) {
 	for _, f := range runs {
 		if told, counts := g.crashes.RecordFailure(g.clock(), life, f); counts {
 			g.tellEnded(told)
