--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -85,13 +85,13 @@
 	}
 	g.after(g.w.between(time.Millisecond, 6*time.Millisecond), func() {
 		if !b.up {
-			g.proved(life)
+			g.confirmEnd(life)
 		}
 	})
 }
 
-// proved notes the proof that a life ended.
-func (g *fleetGateway) proved(life string) {
+// confirmEnd notes the proof that a life ended.
+func (g *fleetGateway) confirmEnd(life string) {
 	if told, counts := g.crashes.ConfirmEnd(g.clock(), life); counts {
 		g.tellEnded(told)
 	}
@@ -129,7 +129,7 @@
 	}
 	for _, e := range before {
 		if other := now[e.Address]; other != "" && other != e.ID && e.State == catalog.StateReady {
-			g.proved(e.ID)
+			g.confirmEnd(e.ID)
 		}
 	}
 	g.crashes.Sweep(g.clock())
