--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -77,7 +77,7 @@
 func (g *fleetGateway) recordBrokenRuns(b *fleetBackend, life string, silent bool, runs []quarantine.Fingerprint) {
 	for _, f := range runs {
 		if told, counts := g.crashes.RecordFailure(g.clock(), life, f); counts {
-			g.tellEnded(told)
+			g.reportCrash(told)
 		}
 	}
 	if silent || g.w.isCut(g.process, b.process) {
@@ -93,11 +93,11 @@
 // confirmEnd notes the proof that a life ended.
 func (g *fleetGateway) confirmEnd(life string) {
 	if told, counts := g.crashes.ConfirmEnd(g.clock(), life); counts {
-		g.tellEnded(told)
+		g.reportCrash(told)
 	}
 }
 
-func (g *fleetGateway) tellEnded(told quarantine.Crash) {
+func (g *fleetGateway) reportCrash(told quarantine.Crash) {
 	g.proposeQuarantineChange(quarantine.Change{Crashes: []quarantine.Crash{told}})
 }
 
