--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// takeQuarantine takes up what control tells of ended back ends.
-func (g *fleetGateway) takeQuarantine(reply *control.WatchReply, before []control.RosterEntry) {
+// applyQuarantineUpdate takes up what control tells of ended back ends.
+func (g *fleetGateway) applyQuarantineUpdate(reply *control.WatchReply, before []control.RosterEntry) {
 	if reply.Quarantine != nil {
 		g.release(g.crashes.ApplyUpdate(g.clock(), reply.Quarantine)...)
 	}
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -342,7 +342,7 @@
 	if g.confirmed > 0 {
 		g.crashes.RecordIdle(g.clock(), g.clock()-g.confirmed-fleetViewTTL)
 	}
-	g.takeQuarantine(reply, before)
+	g.applyQuarantineUpdate(reply, before)
 	g.publishTimes.Update(g.clock(), asked, reply.Version.Term, reply.Publications)
 	g.w.oracle.recordPublicationsSeen(g.process.name, reply.Publications)
 	g.version, g.confirmed = reply.Version, asked
