--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -135,9 +135,9 @@
 	g.crashes.Sweep(g.clock())
 }
 
-// endHot ends one run of the hot request well, and looks whether it is held back.
-func (g *fleetGateway) endHot() {
-	g.after(g.w.between(hotMinInterval, hotMaxInterval), g.endHot)
+// completeHotRequest ends one run of the hot request well, and looks whether it is held back.
+func (g *fleetGateway) completeHotRequest() {
+	g.after(g.w.between(hotMinInterval, hotMaxInterval), g.completeHotRequest)
 	if !g.hasValidView() {
 		return
 	}
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -305,7 +305,7 @@
 	g.w.oracle.fleet.usedRevision[g.process.name] = 0
 	g.watchControl()
 	g.ticker(fleetSendInterval, g.send)
-	g.endHot()
+	g.completeHotRequest()
 }
 
 func (g *fleetGateway) clock() time.Duration { return g.elapsed(g.startedAt, g.w.now()) }
