--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -54,7 +54,7 @@
 	if entry.State != catalog.StateReady || entry.Loading || target == nil || !target.up || target.frozen || target.id != entry.ID {
 		return // nothing listens there, or it doesn't run the request
 	}
-	g.w.oracle.deadlyArrived(g, f, target.id)
+	g.w.oracle.checkFatalSend(g, f, target.id)
 	g.w.killBackend(target, g.w.chance(0.2), f)
 	g.w.restart(target, g.w.between(300*time.Millisecond, 4*time.Second))
 }
@@ -156,8 +156,8 @@
 	excessSends int           // sends that count against it
 }
 
-// deadlyArrived checks a send of a deadly request.
-func (o *oracle) deadlyArrived(g *fleetGateway, f quarantine.Fingerprint, life string) {
+// checkFatalSend checks a send of a deadly request.
+func (o *oracle) checkFatalSend(g *fleetGateway, f quarantine.Fingerprint, life string) {
 	d := o.deadly[f]
 	if d == nil {
 		d = &fatalRequest{}
