--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -269,7 +269,7 @@
 		delay = n.w.between(0, 5*time.Second)
 	}
 	if order.Order != nil {
-		delay = max(delay, n.w.mischief.orderLeaves(n))
+		delay = max(delay, n.w.mischief.delayOrder(n))
 	}
 	from := n.process
 	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.order(order) }) })
--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -16,8 +16,8 @@
 	slowOrder     func(*controlNode) time.Duration // run at the next order to an engine
 }
 
-// orderLeaves runs a fault that waits for an order, and returns how long the order takes then.
-func (m *mischief) orderLeaves(n *controlNode) time.Duration {
+// delayOrder runs a fault that waits for an order, and returns how long the order takes then.
+func (m *mischief) delayOrder(n *controlNode) time.Duration {
 	waiting := m.slowOrder
 	if waiting == nil {
 		return 0
