--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -26,8 +26,8 @@
 	return waiting(n)
 }
 
-// claimBegins runs a fault that waits for a claim.
-func (m *mischief) claimBegins(r *routerNode) {
+// onClaim runs a fault that waits for a claim.
+func (m *mischief) onClaim(r *routerNode) {
 	if waiting := m.freezeClaim; waiting != nil {
 		m.freezeClaim = nil
 		waiting(r)
