--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -52,17 +52,17 @@
 
 func (w *world) faultDrainEngine() {
 	e := pick(w, w.engines)
-	w.leave(e.process, e)
+	w.drainBackend(e.process, e)
 }
 
 func (w *world) faultDrainService() {
 	s := pick(w, w.services)
-	w.leave(s.process, s)
+	w.drainBackend(s.process, s)
 }
 
-// leave has the machine list say that a back end leaves; the back end itself does not know. Later it ends, and comes
+// drainBackend has the machine list say that a back end leaves; the back end itself does not know. Later it ends, and comes
 // back as a new one.
-func (w *world) leave(p *process, n node) {
+func (w *world) drainBackend(p *process, n node) {
 	if p.drainingSince > 0 {
 		return
 	}
