--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -19,9 +19,9 @@
 type publication struct {
 	acked   bool
 	ackedAt time.Duration
-	// maxSkew is how far any replica's time of day was ahead while it may have been proposed, lowest how far behind since. A leader that
+	// maxSkew is how far any replica's time of day was ahead while it may have been proposed, minSkew how far behind since. A leader that
 	// didn't see the naming takes it to be younger by as much as its clock is behind the proposer's.
-	maxSkew, lowest time.Duration
+	maxSkew, minSkew time.Duration
 }
 
 // startsTooLate reports whether no request may begin on a back end's weights any more. It sends none where it doesn't know them.
@@ -52,7 +52,7 @@
 // recordPublishSent notes that a version is about to be named.
 func (o *oracle) recordPublishSent(version uint64) {
 	o.fleet.lastPublishedSent = version
-	o.fleet.publications[version] = &publication{maxSkew: o.w.controls[0].wallSkew, lowest: o.w.controls[0].wallSkew}
+	o.fleet.publications[version] = &publication{maxSkew: o.w.controls[0].wallSkew, minSkew: o.w.controls[0].wallSkew}
 	o.updateWallSkews()
 }
 
@@ -72,7 +72,7 @@
 func (o *oracle) updateWallSkews() {
 	for _, naming := range o.fleet.publications {
 		for _, n := range o.w.controls {
-			naming.lowest = min(naming.lowest, n.wallSkew)
+			naming.minSkew = min(naming.minSkew, n.wallSkew)
 			if !naming.acked {
 				naming.maxSkew = max(naming.maxSkew, n.wallSkew)
 			}
@@ -97,7 +97,7 @@
 		if version <= b.version {
 			continue
 		}
-		day := naming.maxSkew - naming.lowest + wallClockRounding
+		day := naming.maxSkew - naming.minSkew + wallClockRounding
 		if late := now - naming.ackedAt - oldWeightsStartLimit - clockSlack - day; naming.acked && late > 0 {
 			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-naming.ackedAt, version)
 		}
