--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -24,8 +24,8 @@
 	levelRaiseGrace = 3 * time.Second
 )
 
-// levelInForce is the level in force, as the first process that holds it sees it.
-type levelInForce struct {
+// raisedLevel is the level in force, as the first process that holds it sees it.
+type raisedLevel struct {
 	level   level.Level
 	at      time.Duration
 	members consensus.Membership
@@ -85,7 +85,7 @@
 	}
 	held := n.replica.Machine().Level()
 	if held > n.w.raised.level {
-		n.w.raised = levelInForce{held, n.w.now(), n.replica.Node().Membership()}
+		n.w.raised = raisedLevel{held, n.w.now(), n.replica.Node().Membership()}
 	}
 	err := n.replica.Err()
 	_, member := n.w.raised.members.Find(n.identity.ID)
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -52,7 +52,7 @@
 	faults           int
 	limitRandom      *rand.Rand // chances of back ends that name a limit
 	buildRandom      *rand.Rand // chances of control processes that run two builds; nil where all run one
-	raised           levelInForce
+	raised           raisedLevel
 	killedRuns       int // runs that back ends of the fleet took along
 	mischief         mischief
 	history          *History // nil: not recorded
