--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -69,7 +69,7 @@
 	p.w.logf("%s dies, silently=%v", p.name, silent)
 	soonest, latest := time.Millisecond, 3*time.Millisecond
 	if silent {
-		soonest, latest = minKeepAliveTimeout, keepAliveMax
+		soonest, latest = minKeepAliveTimeout, maxKeepAliveTimeout
 	}
 	for _, held := range broken {
 		p.w.after(p.w.between(soonest, latest), held.reset)
@@ -79,7 +79,7 @@
 // A silent death is noticed by keep-alive only.
 const (
 	minKeepAliveTimeout = 10 * time.Second
-	keepAliveMax        = 15 * time.Second
+	maxKeepAliveTimeout = 15 * time.Second
 )
 
 // node is a process that can be started again.
