--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -184,11 +184,11 @@
 }
 
 // ticker repeats something for the rest of the life.
-func (p *process) ticker(period time.Duration, do func()) {
+func (p *process) ticker(interval time.Duration, do func()) {
 	var tick func()
 	tick = func() {
 		do()
-		p.after(period, tick)
+		p.after(interval, tick)
 	}
-	p.after(p.w.between(0, period), tick)
+	p.after(p.w.between(0, interval), tick)
 }
