--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -80,7 +80,7 @@
 			g.reportCrash(told)
 		}
 	}
-	if silent || g.w.isCut(g.process, b.process) {
+	if silent || g.w.isPartitioned(g.process, b.process) {
 		return
 	}
 	g.after(g.w.between(time.Millisecond, 6*time.Millisecond), func() {
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -185,7 +185,7 @@
 // importFrom copies leading blocks from another engine and what the oracle knows of them.
 func (e *engineNode) importFrom(source string, chain []prefix.Hash) int {
 	other := e.w.engine(source)
-	if other == nil || !other.up || other.frozen || e.w.isCut(e.process, other.process) {
+	if other == nil || !other.up || other.frozen || e.w.isPartitioned(e.process, other.process) {
 		return 0
 	}
 	held := other.model.ExportablePrefix(e.w.now(), chain)
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -19,7 +19,7 @@
 	lossRatio     float64
 }
 
-func (w *world) isCut(from, to *process) bool {
+func (w *world) isPartitioned(from, to *process) bool {
 	return w.network.cut[[2]string{from.zone, to.zone}] > 0
 }
 
@@ -40,7 +40,7 @@
 
 // lost draws whether a message is lost.
 func (w *world) lost(from, to *process) bool {
-	return w.isCut(from, to) || (w.isDegraded() && w.chance(w.network.lossRatio))
+	return w.isPartitioned(from, to) || (w.isDegraded() && w.chance(w.network.lossRatio))
 }
 
 // message sends something that may be lost, repeated or reordered.
@@ -134,7 +134,7 @@
 }
 
 func (s *stream) flush() {
-	if s.w.isCut(s.from, s.to) {
+	if s.w.isPartitioned(s.from, s.to) {
 		s.w.after(resendInterval, s.flush)
 		return
 	}
