--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -190,7 +190,9 @@
 
 // toleratesDiskLoss reports whether the membership is committed and every voter is up with its disk, so that losing one
 // disk must lose nothing.
-func (w *world) toleratesDiskLoss() bool { return len(w.network.cut) == 0 && w.allVotersIntact() }
+func (w *world) toleratesDiskLoss() bool {
+	return len(w.network.partitioned) == 0 && w.allVotersIntact()
+}
 
 // allVotersIntact reports whether there is a leader, and every voter is up with the disk that it voted from.
 func (w *world) allVotersIntact() bool {
@@ -307,12 +309,12 @@
 
 func (w *world) cut(pairs [][2]string) (heal func()) {
 	for _, pair := range pairs {
-		w.network.cut[pair]++
+		w.network.partitioned[pair]++
 	}
 	return func() {
 		for _, pair := range pairs {
-			if w.network.cut[pair]--; w.network.cut[pair] <= 0 {
-				delete(w.network.cut, pair)
+			if w.network.partitioned[pair]--; w.network.partitioned[pair] <= 0 {
+				delete(w.network.partitioned, pair)
 			}
 		}
 		w.logf("cut healed")
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -14,13 +14,13 @@
 
 // network tells how messages travel.
 type network struct {
-	cut           map[[2]string]int // directed zone pairs that are cut, and how often
+	partitioned   map[[2]string]int // directed zone pairs that are cut, and how often
 	degradedUntil time.Duration     // messages are lost, delayed, repeated and reordered until then
 	lossRatio     float64
 }
 
 func (w *world) isPartitioned(from, to *process) bool {
-	return w.network.cut[[2]string{from.zone, to.zone}] > 0
+	return w.network.partitioned[[2]string{from.zone, to.zone}] > 0
 }
 
 func (w *world) isDegraded() bool { return w.now() < w.network.degradedUntil }
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -70,7 +70,7 @@
 	w := &world{seed: seed, random: rand.New(rand.NewPCG(seed, seedStream)), guards: guards, trace: trace, gatewayCount: gateways}
 	w.relaysWatches = seed%2 == 0 || gateways > fleetGateways
 	w.reportsStartTime = seed/2%2 == 0
-	w.network.cut = map[[2]string]int{}
+	w.network.partitioned = map[[2]string]int{}
 	w.oracle = newOracle(w)
 	w.hasher = prefix.NewHasher([prefix.KeyBytes]byte{1}, tokensPerBlock, guards)
 	w.makeNodes()
@@ -125,7 +125,7 @@
 // healAll ends every fault.
 func (w *world) healAll() {
 	w.logf("all faults heal")
-	w.network.cut = map[[2]string]int{}
+	w.network.partitioned = map[[2]string]int{}
 	w.network.degradedUntil = 0
 	w.onAccept, w.onPublished = nil, nil
 	w.mischief = mischief{}
