--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -304,10 +304,10 @@
 			pairs = append(pairs, [2]string{zone, other}, [2]string{other, zone})
 		}
 	}
-	return w.cut(pairs)
+	return w.partition(pairs)
 }
 
-func (w *world) cut(pairs [][2]string) (heal func()) {
+func (w *world) partition(pairs [][2]string) (heal func()) {
 	for _, pair := range pairs {
 		w.network.partitioned[pair]++
 	}
@@ -334,7 +334,7 @@
 	}
 	length := w.between(500*time.Millisecond, 9*time.Second)
 	w.recordControlDisturbance(length)
-	w.after(length, w.cut([][2]string{{from, to}}))
+	w.after(length, w.partition([][2]string{{from, to}}))
 }
 
 func (w *world) faultBadNetwork() {
