--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -283,7 +283,7 @@
 	if lagging.zone == leader.zone || lagging.zone == lost.zone {
 		return
 	}
-	heal := w.cutZone(lagging.zone)
+	heal := w.partitionZone(lagging.zone)
 	w.recordControlDisturbance(4 * time.Second)
 	w.onAccept = append(w.onAccept, func() {
 		if !w.allVotersIntact() {
@@ -296,8 +296,8 @@
 	w.after(3500*time.Millisecond, heal)
 }
 
-// cutZone cuts a zone from the others and returns what heals it.
-func (w *world) cutZone(zone string) (heal func()) {
+// partitionZone cuts a zone from the others and returns what heals it.
+func (w *world) partitionZone(zone string) (heal func()) {
 	var pairs [][2]string
 	for _, other := range zones {
 		if other != zone {
@@ -324,7 +324,7 @@
 func (w *world) faultCutZone() {
 	length := w.between(500*time.Millisecond, 9*time.Second)
 	w.recordControlDisturbance(length)
-	w.after(length, w.cutZone(pick(w, zones)))
+	w.after(length, w.partitionZone(pick(w, zones)))
 }
 
 func (w *world) faultCutOneWay() {
--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -47,7 +47,7 @@
 func (w *world) faultCutThenKill() {
 	behind := pick(w, w.controls)
 	length := w.between(2*time.Second, 6*time.Second)
-	w.after(length, w.cutZone(behind.zone))
+	w.after(length, w.partitionZone(behind.zone))
 	w.recordControlDisturbance(length + calmNeeded)
 	w.after(length+w.between(0, 50*time.Millisecond), func() {
 		for _, n := range w.controls {
--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -107,7 +107,7 @@
 		length := 2*settingsLease + w.between(time.Second, 3*time.Second)
 		w.after(w.between(2*time.Millisecond, 12*time.Millisecond), func() { w.freezeRouter(r, length) })
 		w.after(length-100*time.Millisecond, func() {
-			heal := w.cutZone(r.zone)
+			heal := w.partitionZone(r.zone)
 			w.recordControlDisturbance(4 * time.Second)
 			w.after(3500*time.Millisecond, heal)
 		})
@@ -163,7 +163,7 @@
 		return
 	}
 	w.recordControlDisturbance(length)
-	w.after(length, w.cutZone(r.zone))
+	w.after(length, w.partitionZone(r.zone))
 	w.after(100*time.Millisecond, w.operators[0].flipWeights)
 	for at := settingsLease * 3 / 4; at < settingsLease*5/4; at += 10 * time.Millisecond {
 		w.after(at, w.operators[1].read)
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -117,7 +117,7 @@
 	case leader == nil || late == leader || w.chance(0.4):
 		w.onPublished = append(w.onPublished, func() { w.after(w.between(0, away), w.restartAllControl) })
 	case w.chance(0.5):
-		w.after(away, w.cutZone(late.zone))
+		w.after(away, w.partitionZone(late.zone))
 		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.restartReplica(leader) })
 	default:
 		late.freeze()
