--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -59,8 +59,8 @@
 
 func (n *controlNode) unixMS() int64 { return wallStart + (n.w.now() + n.wallSkew).Milliseconds() }
 
-// newFolder makes the disk empty; the replica then has a new identity.
-func (n *controlNode) newFolder() {
+// newDataDir makes the disk empty; the replica then has a new identity.
+func (n *controlNode) newDataDir() {
 	n.folders++
 	n.disk = control.Checkpoint{}
 	n.identity = control.NewIdentity(n.name, fmt.Sprint(n.folders), n.w.guards)
@@ -312,7 +312,7 @@
 // found makes the first replicas: one voter, which the others join, as the processes do.
 func (w *world) found() {
 	for _, n := range w.controls {
-		n.newFolder()
+		n.newDataDir()
 	}
 	first := w.controls[0]
 	first.disk = control.BootstrapState(first.member())
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -227,7 +227,7 @@
 func (w *world) loseDisk(n *controlNode) {
 	w.logf("%s loses its disk", n.name)
 	n.die(w.chance(0.5))
-	n.newFolder()
+	n.newDataDir()
 	w.restartControl(n, w.between(50*time.Millisecond, time.Second))
 	w.recordControlDisturbance(2 * repairAfter)
 }
