--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -7,8 +7,8 @@
 	restartDelay  = 2 * time.Second  // until it comes back
 )
 
-// mischief is what back ends and the machine list do wrong on purpose, and until when.
-type mischief struct {
+// pendingFaults is what back ends and the machine list do wrong on purpose, and until when.
+type pendingFaults struct {
 	stallsOrder   bool // the disk stalls under the next order for weights
 	streamsUntil  time.Duration
 	servicesUntil time.Duration
@@ -17,7 +17,7 @@
 }
 
 // delayOrder runs a fault that waits for an order, and returns how long the order takes then.
-func (m *mischief) delayOrder(n *controlNode) time.Duration {
+func (m *pendingFaults) delayOrder(n *controlNode) time.Duration {
 	waiting := m.slowOrder
 	if waiting == nil {
 		return 0
@@ -27,7 +27,7 @@
 }
 
 // onClaim runs a fault that waits for a claim.
-func (m *mischief) onClaim(r *routerNode) {
+func (m *pendingFaults) onClaim(r *routerNode) {
 	if waiting := m.freezeClaim; waiting != nil {
 		m.freezeClaim = nil
 		waiting(r)
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -54,7 +54,7 @@
 	buildRandom      *rand.Rand // chances of control processes that run two builds; nil where all run one
 	raised           raisedLevel
 	killedRuns       int // runs that back ends of the fleet took along
-	mischief         mischief
+	mischief         pendingFaults
 	history          *History // nil: not recorded
 	onAccept         []func() // run once, at the next accepted change
 	onPublished      []func() // run once, when the next naming of weights is acknowledged
