--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -166,8 +166,8 @@
 // beginSync writes; the replica goes on when the write is synced.
 func (n *controlNode) beginSync(persist control.Persist) {
 	n.syncing = &persist
-	if n.w.mischief.stallsOrder && n.replica.PendingWeightsCalls() > 0 {
-		n.w.mischief.stallsOrder = false
+	if n.w.mischief.stallDiskOnOrder && n.replica.PendingWeightsCalls() > 0 {
+		n.w.mischief.stallDiskOnOrder = false
 		n.stallDisk(n.w.between(3*time.Second, 6*time.Second))
 	}
 	delay := max(n.w.between(500*time.Microsecond, 6*time.Millisecond), n.stallsTo-n.w.now())
--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -38,7 +38,7 @@
 
 // faultStallOrder stalls the disk of a leader between the decision and the send of an order, once weights are named.
 func (w *world) faultStallOrder() {
-	w.mischief.stallsOrder = true
+	w.mischief.stallDiskOnOrder = true
 	pick(w, w.fleetOperators).publishWeights()
 }
 
--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -9,11 +9,11 @@
 
 // pendingFaults is what back ends and the machine list do wrong on purpose, and until when.
 type pendingFaults struct {
-	stallsOrder   bool // the disk stalls under the next order for weights
-	streamsUntil  time.Duration
-	servicesUntil time.Duration
-	freezeClaim   func(*routerNode)                // run at the next claim of a router
-	slowOrder     func(*controlNode) time.Duration // run at the next order to an engine
+	stallDiskOnOrder bool // the disk stalls under the next order for weights
+	streamsUntil     time.Duration
+	servicesUntil    time.Duration
+	freezeClaim      func(*routerNode)                // run at the next claim of a router
+	slowOrder        func(*controlNode) time.Duration // run at the next order to an engine
 }
 
 // delayOrder runs a fault that waits for an order, and returns how long the order takes then.
