--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -12,7 +12,7 @@
 	stallDiskOnOrder bool // the disk stalls under the next order for weights
 	streamsUntil     time.Duration
 	servicesUntil    time.Duration
-	freezeClaim      func(*routerNode)                // run at the next claim of a router
+	onNextClaim      func(*routerNode)                // run at the next claim of a router
 	slowOrder        func(*controlNode) time.Duration // run at the next order to an engine
 }
 
@@ -28,8 +28,8 @@
 
 // onClaim runs a fault that waits for a claim.
 func (m *pendingFaults) onClaim(r *routerNode) {
-	if waiting := m.freezeClaim; waiting != nil {
-		m.freezeClaim = nil
+	if waiting := m.onNextClaim; waiting != nil {
+		m.onNextClaim = nil
 		waiting(r)
 	}
 }
@@ -99,7 +99,7 @@
 // faultClaimFreeze freezes a router that waits for a claim. Meanwhile a change comes into force and the router's
 // session ends; it thaws into a cut, so that nothing but its own clock tells it.
 func (w *world) faultClaimFreeze() {
-	w.mischief.freezeClaim = func(r *routerNode) {
+	w.mischief.onNextClaim = func(r *routerNode) {
 		if r.zone == serveLastZone {
 			return
 		}
