--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -13,16 +13,16 @@
 	streamsUntil     time.Duration
 	servicesUntil    time.Duration
 	onNextClaim      func(*routerNode)                // run at the next claim of a router
-	slowOrder        func(*controlNode) time.Duration // run at the next order to an engine
+	onNextOrder      func(*controlNode) time.Duration // run at the next order to an engine
 }
 
 // delayOrder runs a fault that waits for an order, and returns how long the order takes then.
 func (m *pendingFaults) delayOrder(n *controlNode) time.Duration {
-	waiting := m.slowOrder
+	waiting := m.onNextOrder
 	if waiting == nil {
 		return 0
 	}
-	m.slowOrder = nil
+	m.onNextOrder = nil
 	return waiting(n)
 }
 
@@ -134,7 +134,7 @@
 // back, so that the order arrives after a newer one.
 func (w *world) faultSlowOrder() {
 	const length = 5 * time.Second
-	w.mischief.slowOrder = func(leader *controlNode) time.Duration {
+	w.mischief.onNextOrder = func(leader *controlNode) time.Duration {
 		w.after(10*time.Millisecond, leader.freeze)
 		w.recordControlDisturbance(length)
 		w.after(length, leader.resume)
