--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -111,7 +111,7 @@
 }
 
 // recordLimit notes that a process has an answer in which a back end names its limit.
-func (o *oracle) recordLimit(p pair, n limitPeriod) {
+func (o *oracle) recordLimit(p senderBackend, n limitPeriod) {
 	life := o.limits.of(p.backend, n)
 	if _, known := life.heard[p.sender]; !known {
 		life.heard[p.sender] = o.w.now()
@@ -119,7 +119,7 @@
 }
 
 // checkLimitedSend checks a request at the moment it is sent to a back end.
-func (o *oracle) checkLimitedSend(p pair, n limitPeriod) {
+func (o *oracle) checkLimitedSend(p senderBackend, n limitPeriod) {
 	now := o.w.now()
 	if !n.limit(now).Advertised {
 		return
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -52,11 +52,11 @@
 	return 0
 }
 
-// pair is one life of a process that sends and one life of a back end.
-type pair struct{ sender, backend string }
+// senderBackend is one life of a process that sends and one life of a back end.
+type senderBackend struct{ sender, backend string }
 
-func pairOf(sender *process, backend string) pair {
-	return pair{fmt.Sprintf("%s#%d", sender.name, sender.generation), backend}
+func pairOf(sender *process, backend string) senderBackend {
+	return senderBackend{fmt.Sprintf("%s#%d", sender.name, sender.generation), backend}
 }
 
 // backoffWindow is the part of one rest in which requests count.
@@ -67,16 +67,16 @@
 
 // signalOracle is what back ends were heard to say of themselves.
 type signalOracle struct {
-	backoffs      map[pair][]*backoffWindow
-	drainingSince map[pair]time.Duration // when it was first heard that the back end leaves
+	backoffs      map[senderBackend][]*backoffWindow
+	drainingSince map[senderBackend]time.Duration // when it was first heard that the back end leaves
 }
 
 func newSignalOracle() signalOracle {
-	return signalOracle{backoffs: map[pair][]*backoffWindow{}, drainingSince: map[pair]time.Duration{}}
+	return signalOracle{backoffs: map[senderBackend][]*backoffWindow{}, drainingSince: map[senderBackend]time.Duration{}}
 }
 
 // recordSignals notes that a process has an answer in which a back end speaks of itself. Its clock may run fast.
-func (o *oracle) recordSignals(p pair, said pushback.Signals) {
+func (o *oracle) recordSignals(p senderBackend, said pushback.Signals) {
 	now := o.w.now()
 	if said.Backoff > 0 {
 		end := now + time.Duration(float64(said.Backoff)/(1+clockSkew))
@@ -88,7 +88,7 @@
 }
 
 // checkSend checks a request at the moment it is sent.
-func (o *oracle) checkSend(p pair) {
+func (o *oracle) checkSend(p senderBackend) {
 	now := o.w.now()
 	for _, window := range o.said.backoffs[p] {
 		if now <= window.from || now >= window.until {
