--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -95,8 +95,8 @@
 
 // limitedIncarnation is what was sent to one life of a back end in one time of need, by processes that had heard of it.
 type limitedIncarnation struct {
-	heard map[string]time.Duration // when each process first heard of it
-	sends []time.Duration          // rising
+	learnedAt map[string]time.Duration // when each process first heard of it
+	sends     []time.Duration          // rising
 }
 
 // limitOracle is what back ends in need got. Its keys name a life and the start of its need.
@@ -105,7 +105,7 @@
 func (l limitOracle) of(life string, n limitPeriod) *limitedIncarnation {
 	key := fmt.Sprint(life, n.from)
 	if l[key] == nil {
-		l[key] = &limitedIncarnation{heard: map[string]time.Duration{}}
+		l[key] = &limitedIncarnation{learnedAt: map[string]time.Duration{}}
 	}
 	return l[key]
 }
@@ -113,8 +113,8 @@
 // recordLimit notes that a process has an answer in which a back end names its limit.
 func (o *oracle) recordLimit(p senderBackend, n limitPeriod) {
 	life := o.limits.of(p.backend, n)
-	if _, known := life.heard[p.sender]; !known {
-		life.heard[p.sender] = o.w.now()
+	if _, known := life.learnedAt[p.sender]; !known {
+		life.learnedAt[p.sender] = o.w.now()
 	}
 }
 
@@ -125,7 +125,7 @@
 		return
 	}
 	life := o.limits.of(p.backend, n)
-	if heard, known := life.heard[p.sender]; !known || now < heard+limitLearnDelay {
+	if heard, known := life.learnedAt[p.sender]; !known || now < heard+limitLearnDelay {
 		return
 	}
 	life.sends = window.Add(life.sends, now)
