--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -20,7 +20,7 @@
 	publications       map[uint64]*publication             // by version, of all that were sent
 	publicationSeenAt  map[string]map[uint64]time.Duration // by gateway and version: when it first heard of it, in its current life
 	orders             map[string]issuedOrder              // newest by instance
-	loads              map[string]issuedOrder              // newest that a back end took at once, by instance
+	loadStarts         map[string]issuedOrder              // newest that a back end took at once, by instance
 }
 
 // issuedOrder is an order that left its leader.
@@ -34,7 +34,7 @@
 func newFleetOracle() fleetOracle {
 	return fleetOracle{
 		contents: map[uint64]string{}, usedRevision: map[string]uint64{}, draining: map[string]time.Duration{}, orders: map[string]issuedOrder{},
-		loads: map[string]issuedOrder{}, publications: map[uint64]*publication{}, publicationSeenAt: map[string]map[uint64]time.Duration{},
+		loadStarts: map[string]issuedOrder{}, publications: map[uint64]*publication{}, publicationSeenAt: map[string]map[uint64]time.Duration{},
 	}
 }
 
@@ -96,17 +96,17 @@
 func (o *oracle) recordLoadStart(call control.WeightsCall) {
 	order := o.fleet.orders[call.Instance]
 	order.at = o.w.now()
-	o.fleet.loads[call.Instance] = order
+	o.fleet.loadStarts[call.Instance] = order
 }
 
 // recordLostReply notes that the leader does not know whether its order was taken. Requests then go on by design, and name the
 // weights that they count on; the back end refuses them if it holds others.
-func (o *oracle) recordLostReply(call control.WeightsCall) { delete(o.fleet.loads, call.Instance) }
+func (o *oracle) recordLostReply(call control.WeightsCall) { delete(o.fleet.loadStarts, call.Instance) }
 
 // checkFleetSend checks a gateway's send: while the leader that ordered new weights goes on leading, no gateway whose view
 // counts sends to the back end that is about to load.
 func (o *oracle) checkFleetSend(gateway, instance string) {
-	order, known := o.fleet.loads[instance]
+	order, known := o.fleet.loadStarts[instance]
 	if !known || o.w.now()-order.at > sendWindow || o.w.now() <= order.at {
 		return
 	}
