--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -312,7 +312,7 @@
 
 func (g *fleetGateway) watchControl() {
 	asked := g.clock()
-	told := g.w.oracle.currentFloor()
+	floor := g.w.oracle.currentFloor()
 	question := &control.Watch{
 		Gateway: g.process.name, Zone: g.zone, Revision: g.revision, Roster: g.version, Hold: fleetHold, Quarantine: g.crashes.Version(),
 	}
@@ -322,7 +322,7 @@
 	g.asker.once(control.Request{Watch: question}, askTimeout, func(response control.Response, answered bool) {
 		pause := askPause
 		if answered && response.Kind == control.ResponseOK && response.Watch != nil {
-			g.applyWatchReply(asked, told, response.Watch)
+			g.applyWatchReply(asked, floor, response.Watch)
 			pause = time.Millisecond
 		}
 		g.after(pause, g.watchControl)
