--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -329,8 +329,8 @@
 	})
 }
 
-func (g *fleetGateway) applyWatchReply(asked time.Duration, told watchFloor, reply *control.WatchReply) {
-	g.w.oracle.checkWatchReply(g.process.name, told, reply)
+func (g *fleetGateway) applyWatchReply(asked time.Duration, floor watchFloor, reply *control.WatchReply) {
+	g.w.oracle.checkWatchReply(g.process.name, floor, reply)
 	if reply.Document != nil && reply.Revision > g.revision {
 		g.revision = reply.Revision
 		g.w.oracle.checkDocument(g.process.name, *reply.Document)
