--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -313,13 +313,13 @@
 func (g *fleetGateway) watchControl() {
 	asked := g.clock()
 	floor := g.w.oracle.currentFloor()
-	question := &control.Watch{
+	watch := &control.Watch{
 		Gateway: g.process.name, Zone: g.zone, Revision: g.revision, Roster: g.version, Hold: fleetHold, Quarantine: g.crashes.Version(),
 	}
 	if g.w.relaysWatches && g.w.chance(replicaSwitchRatio) {
 		g.asker.leader = pick(g.w, g.w.controls).name // another replica answers from now on
 	}
-	g.asker.once(control.Request{Watch: question}, askTimeout, func(response control.Response, answered bool) {
+	g.asker.once(control.Request{Watch: watch}, askTimeout, func(response control.Response, answered bool) {
 		pause := askPause
 		if answered && response.Kind == control.ResponseOK && response.Watch != nil {
 			g.applyWatchReply(asked, floor, response.Watch)
