--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -152,7 +152,7 @@
 // fatalRequest is what the oracle knows of a request that ends whoever runs it.
 type fatalRequest struct {
 	crashes     int           // lives
-	thirdAt     time.Duration // when the last life ended that a request may end before it is held back
+	thresholdAt time.Duration // when the last life ended that a request may end before it is held back
 	excessSends int           // sends that count against it
 }
 
@@ -164,13 +164,13 @@
 		o.deadly[f] = d
 	}
 	now := o.w.now()
-	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thirdAt)+quarantineContactTime
+	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thresholdAt)+quarantineContactTime
 	if d.crashes >= quarantine.QuarantineThreshold && well {
 		if d.excessSends++; d.excessSends > maxFatalSends {
-			o.fail(HeldBackTrue, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.crashes, now-d.thirdAt)
+			o.fail(HeldBackTrue, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.crashes, now-d.thresholdAt)
 		}
 	}
 	if d.crashes++; d.crashes == quarantine.QuarantineThreshold {
-		d.thirdAt = now
+		d.thresholdAt = now
 	}
 }
