--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -154,17 +154,17 @@
 }
 
 // requestLease asks the leader for a part of a back end's limit, and sends there if there is one.
-func (g *fleetGateway) requestLease(entry control.RosterEntry, wants []allowance.Demand) {
+func (g *fleetGateway) requestLease(entry control.RosterEntry, demands []allowance.Demand) {
 	asked := g.clock()
-	question := g.leases.NewRequest(asked, wants)
+	question := g.leases.NewRequest(asked, demands)
 	g.requestingLease = true
 	g.leaseAsker.once(control.Request{Borrow: &question}, leaseTimeout, func(response control.Response, answered bool) {
 		g.requestingLease = false
 		var hold allowance.Lease
 		if answered && response.Lent != nil {
-			hold = g.leases.ApplyReply(g.clock(), asked, wants, *response.Lent)[0].Lease
+			hold = g.leases.ApplyReply(g.clock(), asked, demands, *response.Lent)[0].Lease
 		} else {
-			hold, _ = g.leases.TakeFallback(g.clock(), wants[0].Name, 1)
+			hold, _ = g.leases.TakeFallback(g.clock(), demands[0].Name, 1)
 		}
 		at := slices.IndexFunc(g.roster, func(e control.RosterEntry) bool { return e.ID == entry.ID })
 		if hold.Valid(g.clock()) && at >= 0 && g.maySendTo(g.roster[at]) {
