--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -156,9 +156,9 @@
 // requestLease asks the leader for a part of a back end's limit, and sends there if there is one.
 func (g *fleetGateway) requestLease(entry control.RosterEntry, demands []allowance.Demand) {
 	asked := g.clock()
-	question := g.leases.NewRequest(asked, demands)
+	request := g.leases.NewRequest(asked, demands)
 	g.requestingLease = true
-	g.leaseAsker.once(control.Request{Borrow: &question}, leaseTimeout, func(response control.Response, answered bool) {
+	g.leaseAsker.once(control.Request{Borrow: &request}, leaseTimeout, func(response control.Response, answered bool) {
 		g.requestingLease = false
 		var hold allowance.Lease
 		if answered && response.Lent != nil {
