--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -160,14 +160,14 @@
 	g.requestingLease = true
 	g.leaseAsker.once(control.Request{Borrow: &request}, leaseTimeout, func(response control.Response, answered bool) {
 		g.requestingLease = false
-		var hold allowance.Lease
+		var lease allowance.Lease
 		if answered && response.Lent != nil {
-			hold = g.leases.ApplyReply(g.clock(), asked, demands, *response.Lent)[0].Lease
+			lease = g.leases.ApplyReply(g.clock(), asked, demands, *response.Lent)[0].Lease
 		} else {
-			hold, _ = g.leases.TakeFallback(g.clock(), demands[0].Name, 1)
+			lease, _ = g.leases.TakeFallback(g.clock(), demands[0].Name, 1)
 		}
 		at := slices.IndexFunc(g.roster, func(e control.RosterEntry) bool { return e.ID == entry.ID })
-		if hold.Valid(g.clock()) && at >= 0 && g.maySendTo(g.roster[at]) {
+		if lease.Valid(g.clock()) && at >= 0 && g.maySendTo(g.roster[at]) {
 			g.sendTo(g.roster[at])
 		}
 	})
