--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -144,8 +144,8 @@
 	name, now := quota.Backend(entry.ID), g.clock()
 	named := allowance.AdvertisedLimit{Rate: limit.Rate, Age: now - heard}
 	g.leases.SetAdvertisedLimit(now, name, named)
-	if hold, ok := g.leases.Take(now, name, 1); ok {
-		return hold.Valid(now)
+	if lease, ok := g.leases.Take(now, name, 1); ok {
+		return lease.Valid(now)
 	}
 	if !g.requestingLease {
 		g.requestLease(entry, []allowance.Demand{{Name: name, Amount: 1, Advertised: &named}})
