--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -73,22 +73,22 @@
 // advertiseLimit lets one engine and one back end of the fleet, or all of them, name a limit for a while.
 func (w *world) advertiseLimit() {
 	now := w.now()
-	made := limitPeriod{from: now, until: now + 6*time.Second + time.Duration(w.limitRandom.Int64N(int64(14*time.Second))), rate: 6 * w.limitRandom.Float64()}
-	made.later = made.rate
+	period := limitPeriod{from: now, until: now + 6*time.Second + time.Duration(w.limitRandom.Int64N(int64(14*time.Second))), rate: 6 * w.limitRandom.Float64()}
+	period.later = period.rate
 	if w.limitRandom.Float64() < limitChangeRatio {
-		made.later = 6 * w.limitRandom.Float64()
+		period.later = 6 * w.limitRandom.Float64()
 	}
 	all := w.limitRandom.Float64() < allLimitedRatio
 	engine, backend := w.limitRandom.IntN(len(w.engines)), w.limitRandom.IntN(len(w.backends))
-	w.logf("FAULT back ends name a limit of %.2f, then %.2f, until %v; all: %v", made.rate, made.later, made.until, all)
+	w.logf("FAULT back ends name a limit of %.2f, then %.2f, until %v; all: %v", period.rate, period.later, period.until, all)
 	for i, e := range w.engines {
 		if all || i == engine {
-			e.advertised = made
+			e.advertised = period
 		}
 	}
 	for i, b := range w.backends {
 		if all || i == backend {
-			b.advertised = made
+			b.advertised = period
 		}
 	}
 }
