--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -105,8 +105,8 @@
 
 // isRestricted reports whether the back end itself wants no request from this gateway.
 func (g *fleetGateway) isRestricted(entry control.RosterEntry) bool {
-	bar, now := g.signals.Restriction(g.clock(), catalog.ParseInstanceID(entry.ID)), g.clock()
-	return bar.IsBackingOff(now) && g.w.guards.On(guard.BackoffCheck) || bar.Draining && g.w.guards.On(guard.LeavingSelfReported)
+	restriction, now := g.signals.Restriction(g.clock(), catalog.ParseInstanceID(entry.ID)), g.clock()
+	return restriction.IsBackingOff(now) && g.w.guards.On(guard.BackoffCheck) || restriction.Draining && g.w.guards.On(guard.LeavingSelfReported)
 }
 
 // observeResponse takes up what a back end says of itself in the answer to a request that was sent at a time. The gateway knows only whom it meant to ask,
