--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -112,15 +112,15 @@
 // observeResponse takes up what a back end says of itself in the answer to a request that was sent at a time. The gateway knows only whom it meant to ask,
 // not which life answered.
 func (g *fleetGateway) observeResponse(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (turnedAway bool) {
-	said := pushback.Signals{Backoff: b.rejecting.requestedBackoff(g.w.now()), Draining: b.draining, Limit: b.advertised.limit(g.w.now())}
-	g.w.oracle.recordSignals(pairOf(g.process, b.id), said)
-	g.signals.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), said, g.w.random.Float64())
-	if said.Limit.Advertised {
+	signals := pushback.Signals{Backoff: b.rejecting.requestedBackoff(g.w.now()), Draining: b.draining, Limit: b.advertised.limit(g.w.now())}
+	g.w.oracle.recordSignals(pairOf(g.process, b.id), signals)
+	g.signals.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), signals, g.w.random.Float64())
+	if signals.Limit.Advertised {
 		g.w.oracle.recordLimit(pairOf(g.process, b.id), b.advertised)
 	} else {
 		g.signals.ObserveNoLimit(g.clock(), sent, catalog.ParseInstanceID(entry.ID))
 	}
-	return said.Backoff > 0
+	return signals.Backoff > 0
 }
 
 // today is the time of day by which back ends tell when they were started.
