--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -111,7 +111,7 @@
 
 // observeResponse takes up what a back end says of itself in the answer to a request that was sent at a time. The gateway knows only whom it meant to ask,
 // not which life answered.
-func (g *fleetGateway) observeResponse(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (turnedAway bool) {
+func (g *fleetGateway) observeResponse(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (rejected bool) {
 	signals := pushback.Signals{Backoff: b.rejecting.requestedBackoff(g.w.now()), Draining: b.draining, Limit: b.advertised.limit(g.w.now())}
 	g.w.oracle.recordSignals(pairOf(g.process, b.id), signals)
 	g.signals.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), signals, g.w.random.Float64())
