--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -65,7 +65,7 @@
 	from, to *process
 	fromLife int
 	settled  bool
-	failed   func(refused bool)
+	failed   func(notSent bool)
 }
 
 // call sends a request; serve runs at the callee and answers through respond.
