--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -9,10 +9,10 @@
 	"kitetiller/internal/prefix"
 )
 
-// maxEvents bounds the events that a router can still ask for; older ones show as a gap.
+// maxEvents bounds the event history. A router that asks for older events sees a gap in the sequence numbers.
 const maxEvents = 4096
 
-// block is one cached block. Blocks in use by running sequences are pinned.
+// block is one cached block. Blocks that running sequences use are pinned and not evicted.
 type block struct {
 	hash     prefix.Hash
 	lastUsed time.Duration
@@ -20,32 +20,32 @@
 	element  *list.Element
 }
 
-// timedEvent is a cache event and when it happened.
+// timedEvent is a cache event with its time. Lost events take a sequence number but are never reported.
 type timedEvent struct {
 	at    time.Duration
 	lost  bool
 	event core.CacheEvent
 }
 
-// cache is a least-recently-used set of blocks.
+// cache is an LRU prefix cache.
 //
-// Invariant: of one chain, deeper blocks are never fresher than shallower ones, so chains are evicted from
+// Invariant: within a chain, no block is more recently used than the blocks before it, so chains are evicted from
 // their end.
 type cache struct {
 	rates           Rates
 	random          *rand.Rand
 	blocks          map[prefix.Hash]*block
-	order           *list.List // front is the oldest
-	sequence        uint64
+	order           *list.List // least recently used first
+	sequence        uint64     // of the next event
 	events          []timedEvent
-	lastEvictionAge time.Duration // age of the block evicted last
+	lastEvictionAge time.Duration // time since last use of the block that was evicted last
 }
 
 func newCache(rates Rates, random *rand.Rand) *cache {
 	return &cache{rates: rates, random: random, blocks: map[prefix.Hash]*block{}, order: list.New()}
 }
 
-// peek returns how many leading blocks are cached.
+// peek returns how many leading blocks of a chain are cached, without marking them as used.
 func (c *cache) peek(chain []prefix.Hash) int {
 	for i, hash := range chain {
 		if c.blocks[hash] == nil {
@@ -55,13 +55,14 @@
 	return len(chain)
 }
 
-// match returns how many leading blocks are cached and marks them as used, the deepest first.
+// match returns how many leading blocks of a chain are cached and marks them as used.
 func (c *cache) match(chain []prefix.Hash, now time.Duration) int {
 	matched := c.peek(chain)
 	c.touch(chain[:matched], now)
 	return matched
 }
 
+// touch marks the cached blocks of a chain as used, the last one first, to keep the LRU invariant.
 func (c *cache) touch(chain []prefix.Hash, now time.Duration) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		if cached := c.blocks[chain[i]]; cached != nil {
@@ -88,7 +89,7 @@
 	c.touch(chain, now)
 }
 
-// insert adds blocks that follow each other; it stops when no room can be made.
+// insert adds consecutive blocks of a chain. It stops when the cache is full and every block is pinned.
 func (c *cache) insert(chain []prefix.Hash, now time.Duration) {
 	var stored, evicted []prefix.Hash
 	for _, hash := range chain {
@@ -111,6 +112,7 @@
 	c.publish(now, stored, evicted)
 }
 
+// evictOldest removes and returns the least recently used unpinned block, or nil if all are pinned.
 func (c *cache) evictOldest(now time.Duration) *block {
 	for element := c.order.Front(); element != nil; element = element.Next() {
 		oldest := element.Value.(*block)
@@ -129,7 +131,7 @@
 	delete(c.blocks, cached.hash)
 }
 
-// expire evicts blocks that were not used for long.
+// expire evicts unpinned blocks that have not been used within CacheIdleTimeout.
 func (c *cache) expire(now time.Duration) {
 	if c.rates.CacheIdleTimeout <= 0 {
 		return
@@ -149,7 +151,7 @@
 	c.publish(now, nil, evicted)
 }
 
-// evictionAge estimates how long an unused block stays.
+// evictionAge estimates how long an unused block stays cached.
 func (c *cache) evictionAge() time.Duration {
 	if c.lastEvictionAge > 0 && len(c.blocks) >= c.rates.CacheBlocks*9/10 {
 		if c.rates.CacheIdleTimeout > 0 {
@@ -160,7 +162,7 @@
 	return c.rates.CacheIdleTimeout
 }
 
-// publish records a cache event; some are lost on the way.
+// publish records a cache event. A random fraction is marked as lost, as on an unreliable event stream.
 func (c *cache) publish(now time.Duration, stored, evicted []prefix.Hash) {
 	if len(stored) == 0 && len(evicted) == 0 {
 		return
@@ -175,7 +177,8 @@
 	}
 }
 
-// eventsAfter returns the events from a sequence on that happened by a time, and the sequence after them.
+// eventsAfter returns the events with sequence numbers of at least from that happened no later than by, and the next
+// sequence number to ask for.
 func (c *cache) eventsAfter(from uint64, by time.Duration) ([]core.CacheEvent, uint64) {
 	var found []core.CacheEvent
 	next := from
@@ -198,6 +201,7 @@
 	return found, next
 }
 
+// blockHashes lists the cached blocks, least recently used first.
 func (c *cache) blockHashes() []prefix.Hash {
 	hashes := make([]prefix.Hash, 0, len(c.blocks))
 	for element := c.order.Front(); element != nil; element = element.Next() {
