--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -1,8 +1,8 @@
-// Package engine is the stand-in for a model engine: continuous batching with chunked prefill, a
-// memory-bounded prefix cache, priorities, resume, cancel, KV export and import, late and lossy cache events,
-// lagging load reports, and fenced orders to load weights.
+// Package engine simulates a model engine: continuous batching with chunked prefill, a bounded prefix cache,
+// priorities, resumption, cancellation, KV export and import, delayed and lossy cache events, delayed load reports,
+// and fenced orders to load weights.
 //
-// Model is pure and runs in virtual time; the engine process and the bench both drive it.
+// Model does no I/O of its own and runs in virtual time. Both the engine process and the benchmarks drive it.
 package engine
 
 import (
@@ -16,25 +16,24 @@
 	"kitetiller/internal/prefix"
 )
 
-// Rates are an engine's speeds and sizes. The defaults are those of an 8-billion-parameter model on one
-// accelerator, rounded.
+// Rates are the speeds and capacities of an engine.
 type Rates struct {
-	PrefillTokensPerSecond float64       `json:"prefill_tokens_per_s"` // prompt tokens computed a second
-	ImportTokensPerSecond  float64       `json:"import_tokens_per_s"`  // cached tokens copied from elsewhere a second
-	DecodeStep             time.Duration `json:"decode_step_ns"`       // one token for each running sequence
-	DecodePerSeq           time.Duration `json:"decode_per_sequence_ns"`
-	ChunkTokens            int           `json:"chunk_tokens"` // prompt tokens computed in one step at most
-	MaxBatch               int           `json:"max_batch"`    // sequences running at once
+	PrefillTokensPerSecond float64       `json:"prefill_tokens_per_s"`   // prompt tokens prefilled per second
+	ImportTokensPerSecond  float64       `json:"import_tokens_per_s"`    // cached tokens copied from other stores per second
+	DecodeStep             time.Duration `json:"decode_step_ns"`         // base duration of a decode step
+	DecodePerSeq           time.Duration `json:"decode_per_sequence_ns"` // added for each decoding sequence
+	ChunkTokens            int           `json:"chunk_tokens"`           // maximum prompt tokens prefilled in one step
+	MaxBatch               int           `json:"max_batch"`              // maximum running sequences
 	CacheBlocks            int           `json:"cache_blocks"`
-	CacheIdleTimeout       time.Duration `json:"cache_idle_ns"` // an unused block is evicted after this; 0 is never
-	EventLag               time.Duration `json:"event_lag_ns"`
-	EventLossRatio         float64       `json:"event_loss"` // share of cache events lost
-	LoadLag                time.Duration `json:"load_lag_ns"`
-	LoadTime               time.Duration `json:"load_time_ns"` // loading weights alone
-	MaxWaiting             int           `json:"queue_limit"`
+	CacheIdleTimeout       time.Duration `json:"cache_idle_ns"` // unused blocks are evicted after this; 0 disables
+	EventLag               time.Duration `json:"event_lag_ns"`  // delay of cache events
+	EventLossRatio         float64       `json:"event_loss"`    // fraction of cache events that are lost
+	LoadLag                time.Duration `json:"load_lag_ns"`   // delay of load reports
+	LoadTime               time.Duration `json:"load_time_ns"`  // time to load weights while no other engine loads any
+	MaxWaiting             int           `json:"queue_limit"`   // maximum waiting jobs
 }
 
-// DefaultRates returns the rates of the stand-in's reference engine.
+// DefaultRates returns the rates of an 8-billion-parameter model on one accelerator.
 func DefaultRates() Rates {
 	return Rates{
 		PrefillTokensPerSecond: 8000, ImportTokensPerSecond: 40000, DecodeStep: 8 * time.Millisecond, DecodePerSeq: 200 * time.Microsecond,
@@ -44,26 +43,26 @@
 	}
 }
 
-// Job is one attempt sent to the engine.
+// Job is one attempt of a request, as submitted to the engine.
 type Job struct {
 	Attempt              core.AttemptID
 	Request              core.RequestID
-	Origin               string // router, to tell attempts of different routers apart
+	Origin               string // router; attempt IDs are unique only within one
 	Tenant               string
 	Blocks               []prefix.Hash
 	PromptTokens         int
 	MaxTokens            int
-	ResumeFrom           int
+	ResumeFrom           int // output tokens that an earlier attempt delivered
 	Lane                 core.Lane
-	Incarnation          uint64 // life the router counts on
-	Weights              string
+	Incarnation          uint64 // incarnation that the router expects
+	Weights              string // version that the router expects
 	ExpectedCachedTokens int
 	ImportFrom           string
 	ImportBlocks         int
-	UserData             any // returned with each output
+	UserData             any // opaque to the model
 }
 
-// OutputKind tells what an Output reports.
+// OutputKind is the kind of an Output.
 type OutputKind uint8
 
 // Kinds of output.
@@ -73,44 +72,44 @@
 	OutputDone
 )
 
-// Output is one step of a job.
+// Output is one event in the progress of a job.
 type Output struct {
 	Kind     OutputKind
 	Job      *Job
-	Index    int // token position, or the length of the answer
-	Cached   int // prompt tokens reused, copied ones included
-	Imported int
-	Computed []prefix.Hash // blocks that were computed
-	Weights  string        // in use when the step was made
+	Index    int           // token position, or the output length for OutputDone
+	Cached   int           // prompt tokens reused, including imported ones
+	Imported int           // prompt tokens copied from another store
+	Computed []prefix.Hash // blocks that were prefilled
+	Weights  string        // version in use at this step
 }
 
-// SubmitResult tells whether a job was taken.
+// SubmitResult tells whether a job was accepted.
 type SubmitResult uint8
 
 // Results of Submit.
 const (
 	Accepted             SubmitResult = iota
-	AcceptedWithoutReuse              // the router counted on another life or other weights
+	AcceptedWithoutReuse              // the router expected another incarnation or other weights
 	RejectedQueueFull
 	RejectedDraining
 	RejectedLoading
 )
 
-// sequence is a job being worked on.
+// sequence is the state of a waiting or running job.
 type sequence struct {
 	job              *Job
-	importEndsAt     time.Duration // end of a copy
+	importEndsAt     time.Duration // end of the KV import
 	importing        bool
-	promptTokensLeft int // prompt tokens left
-	cached           int
-	imported         int
-	emitted          int
-	reuse            bool
+	promptTokensLeft int  // to prefill
+	cached           int  // prompt tokens
+	imported         int  // prompt tokens
+	emitted          int  // output tokens
+	reuse            bool // may use cached blocks
 	pinned           []prefix.Hash
 	computed         []prefix.Hash
 }
 
-// Model is an engine in virtual time. It is not safe for concurrent use.
+// Model is a simulated engine in virtual time. It is not safe for concurrent use.
 type Model struct {
 	Name        string
 	Incarnation uint64
@@ -123,9 +122,9 @@
 	cache   *cache
 	waiting []*sequence
 	running []*sequence
-	stepEnd time.Duration // end of the step in progress; 0 when idle
-	step    []*sequence   // sequences of the step in progress
-	chunks  map[*sequence]int
+	stepEnd time.Duration     // end of the step in progress; 0 when idle
+	step    []*sequence       // sequences of the step in progress
+	chunks  map[*sequence]int // prompt tokens that the step prefills
 	now     time.Duration
 
 	draining       bool
@@ -133,17 +132,17 @@
 	loadingWeights string
 	fence          control.Fence
 	loadHistory    []loadSample
-	// Import returns how many leading blocks of a chain the source can give; nil disables copies.
+	// Import returns how many leading blocks of a chain the source can provide; nil disables imports.
 	Import func(source string, chain []prefix.Hash) int
 }
 
-// loadSample is a load report and when it was true.
+// loadSample is the load at one time.
 type loadSample struct {
 	at   time.Duration
 	load core.Load
 }
 
-// New returns an empty engine.
+// New returns an idle engine with an empty cache.
 func New(name string, incarnation uint64, weights string, rates Rates, blockTokens int, seed uint64, guards guard.Set) *Model {
 	random := rand.New(rand.NewPCG(seed, incarnation))
 	return &Model{
@@ -152,10 +151,10 @@
 	}
 }
 
-// SetDraining makes the engine refuse new work and report that it leaves.
+// SetDraining sets whether the engine rejects new jobs and reports that it is draining.
 func (m *Model) SetDraining(draining bool) { m.draining = draining }
 
-// Submit takes or refuses a job. A refused job provably does not run.
+// Submit accepts or rejects a job. A rejected job never runs.
 func (m *Model) Submit(now time.Duration, job *Job) SubmitResult {
 	m.now = max(m.now, now)
 	switch {
@@ -177,7 +176,7 @@
 	return Accepted
 }
 
-// Cancel drops a job wherever it stands.
+// Cancel removes a waiting or running job.
 func (m *Model) Cancel(origin string, attempt core.AttemptID) {
 	isTarget := func(seq *sequence) bool { return seq.job.Attempt == attempt && seq.job.Origin == origin }
 	m.waiting = slices.DeleteFunc(m.waiting, isTarget)
@@ -190,10 +189,10 @@
 	m.step = slices.DeleteFunc(m.step, isTarget)
 }
 
-// UnfinishedJobs returns the number of jobs not finished yet.
+// UnfinishedJobs returns the number of waiting and running jobs.
 func (m *Model) UnfinishedJobs() int { return len(m.waiting) + len(m.running) }
 
-// NextWakeup returns when Advance has something to do, or false when the engine is idle.
+// NextWakeup returns when Advance next has work to do, or false when the engine is idle.
 func (m *Model) NextWakeup() (time.Duration, bool) {
 	wakeup, scheduled := time.Duration(0), false
 	consider := func(at time.Duration) {
@@ -212,8 +211,8 @@
 	return wakeup, scheduled
 }
 
-// considerStepStart offers the times at which the next step can begin: now, or when a copy ends. A copy that ends
-// during a step waits for the step.
+// considerStepStart passes on the times at which the next step can begin: now, or when an import ends. An import that
+// ends during a step waits for the end of the step.
 func (m *Model) considerStepStart(consider func(time.Duration)) {
 	if m.hasStepWork() {
 		consider(m.now)
@@ -225,7 +224,7 @@
 	}
 }
 
-// hasStepWork reports whether a step could begin now.
+// hasStepWork reports whether a step can begin now.
 func (m *Model) hasStepWork() bool {
 	if len(m.waiting) > 0 && len(m.running) < m.rates.MaxBatch {
 		return true
@@ -233,7 +232,7 @@
 	return slices.ContainsFunc(m.running, func(seq *sequence) bool { return !seq.importing || seq.importEndsAt <= m.now })
 }
 
-// Advance runs the engine up to now and returns what it produced, in order.
+// Advance runs the engine until now and returns its outputs in order.
 func (m *Model) Advance(now time.Duration) []Output {
 	var outputs []Output
 	for {
@@ -256,7 +255,7 @@
 	return outputs
 }
 
-// beginStep admits waiting jobs, interactive first, and starts one step of prefill and decode.
+// beginStep admits waiting jobs and starts a step that combines prefill chunks and decoding.
 func (m *Model) beginStep(outputs []Output) []Output {
 	outputs = m.admitWaiting(outputs)
 	budget := m.rates.ChunkTokens
@@ -293,15 +292,15 @@
 	return outputs
 }
 
-// runningByLane returns the running sequences with the interactive lane first, otherwise in order of arrival.
+// runningByLane returns the running sequences by lane, interactive first, in order of admission within a lane.
 func (m *Model) runningByLane() []*sequence {
 	ordered := slices.Clone(m.running)
 	slices.SortStableFunc(ordered, func(a, b *sequence) int { return int(a.job.Lane) - int(b.job.Lane) })
 	return ordered
 }
 
-// admitWaiting moves jobs into the batch. Only as many prefills are open as keep the chunk busy, so that a
-// job whose prefix is being computed finds it in the cache when its turn comes.
+// admitWaiting moves waiting jobs into the batch, interactive ones first. It stops once the pending prefill fills a
+// chunk, so that jobs with a prefix in common with a running prefill are admitted when that prefix is cached.
 func (m *Model) admitWaiting(outputs []Output) []Output {
 	slices.SortStableFunc(m.waiting, func(a, b *sequence) int { return int(a.job.Lane) - int(b.job.Lane) })
 	for len(m.waiting) > 0 && len(m.running) < m.rates.MaxBatch {
@@ -317,7 +316,7 @@
 	return outputs
 }
 
-// competingPrefillTokens is the prefill of running sequences that a new one of the lane would wait for.
+// competingPrefillTokens returns the pending prefill tokens of running sequences at or above the lane's priority.
 func (m *Model) competingPrefillTokens(lane core.Lane) int {
 	tokens := 0
 	for _, seq := range m.running {
@@ -328,7 +327,8 @@
 	return tokens
 }
 
-// startSequence looks up the cache, begins a copy if one was asked for and helps, and counts what must be computed.
+// startSequence looks up the cached prefix, begins an import if one was requested and extends that prefix, and sets the
+// number of tokens to prefill.
 func (m *Model) startSequence(seq *sequence) {
 	job := seq.job
 	matched := 0
@@ -350,12 +350,12 @@
 	m.cache.pin(seq.pinned)
 	seq.cached = matched * m.blockTokens
 	seq.promptTokensLeft = max(1, job.PromptTokens+job.ResumeFrom-seq.cached)
-	if job.Weights == m.Weights { // other weights give other contents than the chain stands for
+	if job.Weights == m.Weights { // blocks of other weights must not be cached under these hashes
 		seq.computed = job.Blocks[matched:]
 	}
 }
 
-// endStep hands out the tokens of the step and finishes sequences.
+// endStep emits the tokens of the step and releases the sequences that are complete.
 func (m *Model) endStep(outputs []Output) []Output {
 	m.stepEnd = 0
 	for _, seq := range m.step {
@@ -366,7 +366,7 @@
 			}
 			m.finishPrefill(seq)
 		}
-		if seq.emitted >= seq.job.MaxTokens { // resumed at the very end: only the end marker was missing
+		if seq.emitted >= seq.job.MaxTokens { // resumed after the last token: only the end marker is due
 			continue
 		}
 		outputs = append(outputs, Output{
@@ -386,7 +386,7 @@
 	return outputs
 }
 
-// finishPrefill puts the computed blocks into the cache.
+// finishPrefill adds the prefilled blocks to the cache and pins them.
 func (m *Model) finishPrefill(seq *sequence) {
 	m.cache.insert(seq.computed, m.now)
 	m.cache.pin(seq.computed)
@@ -397,13 +397,13 @@
 
 func (m *Model) release(seq *sequence) { m.cache.unpin(seq.pinned, m.now) }
 
-// ExportablePrefix returns how many leading blocks of a chain the engine holds, for a copy.
+// ExportablePrefix returns how many leading blocks of a chain can be exported, and marks them as used.
 func (m *Model) ExportablePrefix(now time.Duration, chain []prefix.Hash) int {
 	return m.cache.match(chain, now)
 }
 
-// CachedPrefix returns the same without touching the blocks.
+// CachedPrefix returns how many leading blocks of a chain are cached, without marking them as used.
 func (m *Model) CachedPrefix(chain []prefix.Hash) int { return m.cache.peek(chain) }
 
-// Snapshot returns every cached block and the sequence of the next event.
+// Snapshot returns all cached blocks and the sequence number of the next event.
 func (m *Model) Snapshot() ([]prefix.Hash, uint64) { return m.cache.blockHashes(), m.cache.sequence }
