--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -8,10 +8,10 @@
 	"kitetiller/internal/guard"
 )
 
-// maxLoadSamples bounds the history from which lagging reports are taken.
+// maxLoadSamples bounds the load history that delayed reports are taken from.
 const maxLoadSamples = 64
 
-// sampleLoad records the true load, at most every few milliseconds.
+// sampleLoad records the current load, at most every 5 ms.
 func (m *Model) sampleLoad() {
 	if n := len(m.loadHistory); n > 0 && m.now < m.loadHistory[n-1].at+5*time.Millisecond {
 		return
@@ -22,7 +22,7 @@
 	}
 }
 
-// CurrentLoad returns the load without lag.
+// CurrentLoad returns the load without the delay of reports.
 func (m *Model) CurrentLoad() core.Load {
 	load := core.Load{
 		Running: len(m.running), Waiting: len(m.waiting), PrefillRate: m.rates.PrefillTokensPerSecond, EvictionAge: m.cache.evictionAge(),
@@ -46,7 +46,7 @@
 	return load
 }
 
-// laggedLoad returns the newest load that is at least LoadLag old.
+// laggedLoad returns the newest recorded load that is at least LoadLag old, or else the oldest.
 func (m *Model) laggedLoad() core.Load {
 	for i := len(m.loadHistory) - 1; i >= 0; i-- {
 		if age := m.now - m.loadHistory[i].at; age >= m.rates.LoadLag || i == 0 {
@@ -58,7 +58,7 @@
 	return m.CurrentLoad()
 }
 
-// Report returns the answer to a state poll with the events after a sequence.
+// Report returns the reply to a state poll, with the cache events from the given sequence number on.
 func (m *Model) Report(now time.Duration, after uint64) core.BackendReport {
 	m.now = max(m.now, now)
 	m.sampleLoad()
@@ -69,14 +69,14 @@
 	}
 }
 
-// Fence returns the highest fence seen.
+// Fence returns the fence of the last accepted call.
 func (m *Model) Fence() control.Fence { return m.fence }
 
 // Loading reports whether weights are being loaded.
 func (m *Model) Loading() bool { return m.loadEndsAt > 0 }
 
-// HandleCall takes a fenced call. It returns false when a higher fence was seen before, or the order was meant
-// for an earlier life. loadTime is how long the weights take to load now.
+// HandleCall applies a fenced call and reports whether it was accepted. Calls with a fence lower than an earlier one and
+// orders for another incarnation are rejected. loadTime is how long the weights take to load.
 func (m *Model) HandleCall(now time.Duration, call control.EngineCall, loadTime time.Duration) bool {
 	m.now = max(m.now, now)
 	if m.guards.On(guard.FenceCheck) && call.Fence.Less(m.fence) {
@@ -94,7 +94,7 @@
 	return true
 }
 
-// finishLoad puts new weights to use when they have arrived and no job runs on the old ones any more.
+// finishLoad switches to the new weights once they are loaded and no job is left on the old ones.
 func (m *Model) finishLoad() {
 	if m.loadEndsAt == 0 || m.now < m.loadEndsAt || m.UnfinishedJobs() > 0 {
 		return
@@ -103,11 +103,11 @@
 	m.loadEndsAt = 0
 }
 
-// AbortLoad gives up a load whose weights could not be fetched; the old weights stay.
+// AbortLoad abandons a load in progress; the current weights stay in use.
 func (m *Model) AbortLoad() { m.loadEndsAt = 0 }
 
-// ContendedLoadTime returns the time to load weights when count engines load at once and the store serves limit at
-// full speed.
+// ContendedLoadTime returns the time to load weights while count engines load at once from a store that serves
+// fullSpeedLimit engines at full speed.
 func ContendedLoadTime(uncontended time.Duration, count, fullSpeedLimit int) time.Duration {
 	if count <= fullSpeedLimit {
 		return uncontended
@@ -115,7 +115,7 @@
 	return time.Duration(float64(uncontended) * float64(count) / float64(fullSpeedLimit))
 }
 
-// CompleteLoad ends a load whose length was not known in advance.
+// CompleteLoad marks a load as done whose duration was not known in advance.
 func (m *Model) CompleteLoad(now time.Duration) {
 	m.now = max(m.now, now)
 	if m.loadEndsAt > 0 {
