--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -11,7 +11,7 @@
 
 const testBlockTokens = 64
 
-// chainOf returns a chain of blocks that starts with the given seed.
+// chainOf returns a chain of blocks; chains of different seeds have no block in common.
 func chainOf(seed byte, length int) []prefix.Hash {
 	chain := make([]prefix.Hash, length)
 	for i := range chain {
@@ -31,8 +31,7 @@
 	return New("engine", 1, "w1", DefaultRates(), testBlockTokens, 1, guard.Set{})
 }
 
-// TestNextWakeupIsEndOfStepDuringImport: a copy that ends while a step runs must not make the model due again and
-// again at a time when it can do nothing; Advance would never return.
+// An import that ends during a step must not cause a wakeup before the end of the step: Advance would loop forever.
 func TestNextWakeupIsEndOfStepDuringImport(t *testing.T) {
 	model := newTestModel()
 	model.Import = func(string, []prefix.Hash) int { return 4 }
@@ -43,7 +42,7 @@
 	model.running = append(model.running, &sequence{job: importing, importing: true, importEndsAt: time.Millisecond, promptTokensLeft: 1})
 	model.now = 2 * time.Millisecond
 	if due, _ := model.NextWakeup(); due != model.stepEnd {
-		t.Fatalf("due at %v while the step ends at %v", due, model.stepEnd)
+		t.Fatalf("next wakeup at %v, want the end of the step at %v", due, model.stepEnd)
 	}
 }
 
@@ -65,7 +64,7 @@
 	model.Submit(model.now, newTestJob(2, chainOf(1, 20), 3))
 	outputs := runUntilIdle(model)
 	if outputs[0].Kind != OutputStarted || outputs[0].Cached != 20*testBlockTokens {
-		t.Fatalf("started with %d cached tokens, want %d", outputs[0].Cached, 20*testBlockTokens)
+		t.Fatalf("job started with %d cached tokens, want %d", outputs[0].Cached, 20*testBlockTokens)
 	}
 }
 
@@ -78,13 +77,13 @@
 	for _, output := range runUntilIdle(model) {
 		if output.Kind == OutputToken {
 			if output.Index != next {
-				t.Fatalf("token %d, want %d", output.Index, next)
+				t.Fatalf("token index %d, want %d", output.Index, next)
 			}
 			next++
 		}
 	}
 	if next != 9 {
-		t.Fatalf("stream ended after token %d, want 9", next)
+		t.Fatalf("stream ended before token index %d, want 9", next)
 	}
 }
 
@@ -98,7 +97,7 @@
 		t.Fatalf("result %v, want TakenWithoutReuse", result)
 	}
 	if outputs := runUntilIdle(model); outputs[0].Cached != 0 {
-		t.Fatalf("%d tokens reused across lives", outputs[0].Cached)
+		t.Fatalf("%d cached tokens reused for another incarnation, want 0", outputs[0].Cached)
 	}
 }
 
@@ -108,7 +107,7 @@
 	model.Advance(200 * time.Millisecond)
 	model.Cancel("router", 1)
 	if outputs := runUntilIdle(model); len(outputs) != 0 || model.UnfinishedJobs() != 0 {
-		t.Fatalf("%d outputs and %d jobs after the cancel", len(outputs), model.UnfinishedJobs())
+		t.Fatalf("%d outputs and %d jobs after cancellation, want none", len(outputs), model.UnfinishedJobs())
 	}
 }
 
@@ -120,7 +119,7 @@
 	}
 }
 
-// TestResumeAfterLastTokenProducesOnlyEndMarker: when the end marker was lost, a resume must not make another token.
+// Resuming a stream that lost only its end marker must not produce another token.
 func TestResumeAfterLastTokenProducesOnlyEndMarker(t *testing.T) {
 	model := newTestModel()
 	resumed := newTestJob(1, chainOf(1, 3), 9)
@@ -128,7 +127,7 @@
 	model.Submit(0, resumed)
 	for _, output := range runUntilIdle(model) {
 		if output.Kind == OutputToken {
-			t.Fatalf("token %d of an answer of 9", output.Index)
+			t.Fatalf("token index %d emitted after the last of 9 tokens", output.Index)
 		}
 	}
 }
