--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// eventsAfter returns the events with sequence numbers of at least from that happened no later than by, and the next
-// sequence number to ask for.
+// eventsAfter returns the reported events that start at sequence number from and happened no later than by, and the
+// next sequence number to ask for.
 func (c *cache) eventsAfter(from uint64, by time.Duration) ([]core.CacheEvent, uint64) {
 	var found []core.CacheEvent
 	next := from
