--- a/internal/lab/standin/answer.go
+++ b/internal/lab/standin/answer.go
@@ -1,6 +1,6 @@
-// Package standin holds the processes that stand for the outside world on one machine: model engines, small
-// services, the KV store, the weight store and the platform's machine list. docs/BACKENDS.md describes the
-// protocol they serve, which is what an adapter for a real back end must provide.
+// Package standin simulates the router's environment with processes on one machine: model engines, small services, the
+// KV store, the weight store and the platform's machine list. docs/BACKENDS.md describes the protocol that they serve;
+// adapters for real back ends must serve the same.
 package standin
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TokenText returns the token at a position of the answer to a prompt. It depends on prompt, seed and
-// position only, so that any engine continues any other's stream, and callers can check their answers.
+// TokenText returns the output token at an index. It depends only on prompt, seed and index, so that any engine can
+// resume the stream of another and clients can verify the output.
 func TokenText(promptDigest, seed uint64, index int) string {
 	var buffer [24]byte
 	binary.LittleEndian.PutUint64(buffer[0:], promptDigest)
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%06x ", xxhash.Sum64(buffer[:])&0xffffff)
 }
 
-// ServiceResponse returns the answer of a small service to a body.
+// ServiceResponse returns the response body of a small service to a request body.
 func ServiceResponse(body []byte) []byte {
 	return fmt.Appendf(nil, `{"confirmed":"%016x"}`, xxhash.Sum64(body))
 }
@@ -30,10 +30,10 @@
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(value) // a caller that is gone cannot be told
+	_ = json.NewEncoder(w).Encode(value) // fails only when the client has disconnected
 }
 
-// readJSON decodes a body, or answers 400.
+// readJSON decodes a request body into target. If that fails, it responds with status 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(target); err != nil {
 		http.Error(w, "the body is not the expected JSON: "+err.Error(), http.StatusBadRequest)
