--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -22,27 +22,27 @@
 )
 
 const (
-	outputQueueSize    = 4096 // tokens that may wait for a slow router before the job is cancelled
+	outputQueueSize    = 4096 // outputs buffered for a slow router before the job is cancelled
 	maxAdvanceInterval = 50 * time.Millisecond
-	busyRetryDelay     = 200 * time.Millisecond
+	busyRetryDelay     = 200 * time.Millisecond // also bounds the query of an import source
 	vaultTimeout       = time.Second
 	fetchTimeout       = 30 * time.Second
-	maxLoadTime        = time.Hour // the weight store decides when a load ends
+	maxLoadTime        = time.Hour // the reply of the weight store ends a load earlier
 )
 
-// EngineConfig is what an engine process needs to start.
+// EngineConfig configures an engine process.
 type EngineConfig struct {
 	Name        string
 	Zone        string
 	Service     string
 	Listen      string
-	Weights     string // loaded at the start
+	Weights     string // version loaded at startup
 	WeightStore string
 	BlockTokens int
 	Rates       engine.Rates
 }
 
-// Engine is a model engine process.
+// Engine serves a simulated model engine over HTTP in real time.
 type Engine struct {
 	config EngineConfig
 	log    *zap.Logger
@@ -54,7 +54,7 @@
 	model *engine.Model
 }
 
-// jobStream joins a job of the model to the response that streams it.
+// jobStream passes the outputs of a job to the HTTP response that streams them.
 type jobStream struct {
 	outputs chan engine.Output
 }
@@ -73,7 +73,7 @@
 
 func (e *Engine) now() time.Duration { return time.Since(e.start) }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is done.
 func (e *Engine) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+api.PathGenerate, e.serveGenerate)
@@ -86,7 +86,7 @@
 	return serve(ctx, e.config.Listen, mux, e.log)
 }
 
-// runModel is the thread that runs the model in real time.
+// runModel advances the model in real time until ctx is done.
 func (e *Engine) runModel(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -101,6 +101,7 @@
 	}
 }
 
+// advanceModel advances the model to the current time, passes its outputs on, and returns the time to the next call.
 func (e *Engine) advanceModel() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -151,7 +152,7 @@
 	e.stream(w, r, request, job, result == engine.AcceptedWithoutReuse, incarnation)
 }
 
-// rejectionOf returns the answer to a job that was not taken.
+// rejectionOf returns the response to a job that was rejected; the flag is false if it was accepted.
 func rejectionOf(result engine.SubmitResult) (api.BackendRejection, bool) {
 	rejection := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyRetryDelay.Milliseconds()}
 	switch result {
@@ -164,7 +165,7 @@
 	return rejection, false
 }
 
-// stream writes a job's outputs as server-sent events; a closed connection cancels the job.
+// stream writes the outputs of a job as server-sent events. It cancels the job when the client disconnects.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, request api.GenerateRequest, job *engine.Job, noReuse bool, incarnation uint64) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(w)
@@ -182,12 +183,12 @@
 			if output.Kind == engine.OutputStarted {
 				event.Incarnation, event.NoReuse = incarnation, noReuse
 			}
-			data, _ := json.Marshal(event) // plain struct, cannot fail
+			data, _ := json.Marshal(event) // cannot fail: plain struct
 			if _, err := fmt.Fprintf(w, "data: %s\n\n", data); err != nil {
-				continue // the context ends soon
+				continue // the request context is cancelled shortly
 			}
 			if len(outputs) == 0 {
-				_ = controller.Flush() // a broken connection shows in the context
+				_ = controller.Flush() // a broken connection cancels the request context
 			}
 			if output.Kind == engine.OutputDone {
 				return
@@ -210,7 +211,7 @@
 	return event
 }
 
-// storeInVault stores the asked-for prefix in the vault.
+// storeInVault stores the requested number of blocks in the vault and returns how many it holds.
 func (e *Engine) storeInVault(request api.GenerateRequest) int {
 	if request.VaultBlocks == 0 || request.Vault == "" {
 		return 0
@@ -225,8 +226,8 @@
 	return reply.CachedBlocks
 }
 
-// importablePrefix asks another engine or the vault how much of a chain it can give. It is called with the mutex
-// held, so it is bounded tightly.
+// importablePrefix asks another engine or the vault how many leading blocks of a chain it can provide. It runs with the
+// mutex locked, hence the short timeout.
 func (e *Engine) importablePrefix(source string, chain []prefix.Hash) int {
 	ctx, cancel := context.WithTimeout(context.Background(), busyRetryDelay)
 	defer cancel()
@@ -238,7 +239,7 @@
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // missing means from the start
+	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // 0, the first event, if missing
 	e.mutex.Lock()
 	report := e.model.Report(e.now(), after)
 	fence := e.model.Fence()
@@ -265,7 +266,7 @@
 	if !readJSON(w, r, &request) {
 		return
 	}
-	if !e.mutex.TryLock() { // two engines that copy from each other must not wait for each other
+	if !e.mutex.TryLock() { // avoids deadlock between two engines that import from each other
 		writeJSON(w, http.StatusOK, api.KVReply{})
 		return
 	}
@@ -281,7 +282,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveOrder takes a fenced order. Weights come from the rate-limited store.
+// serveOrder handles a fenced call. If it starts a load, the weights are fetched from the weight store in the background.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var call control.EngineCall
 	if !readJSON(w, r, &call) {
@@ -306,7 +307,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if err != nil {
-		e.log.Warn("weights not fetched; the old ones stay", zap.String("weights", weights), zap.Error(err))
+		e.log.Warn("fetching weights failed; keeping the current version", zap.String("weights", weights), zap.Error(err))
 		e.model.AbortLoad()
 		return
 	}
