--- a/internal/lab/standin/serve.go
+++ b/internal/lab/standin/serve.go
@@ -15,7 +15,7 @@
 	shutdownTimeout = time.Second
 )
 
-// serve runs an HTTP server until ctx ends.
+// serve runs an HTTP server until ctx is done, then shuts it down.
 func serve(ctx context.Context, address string, handler http.Handler, log *zap.Logger) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
