--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -15,18 +15,18 @@
 	"kitetiller/internal/ledger"
 )
 
-// ServiceConfig is what a small service process needs to start.
+// ServiceConfig configures a small service process.
 type ServiceConfig struct {
 	Name            string
 	Zone            string
 	Service         string
 	Listen          string
 	ServiceTime     time.Duration
-	DropAfterRatio  float64 // share of requests that run and then lose their connection
-	DropBeforeRatio float64 // share of requests that are read and dropped without running
+	DropAfterRatio  float64 // fraction of requests whose connection is closed after they ran
+	DropBeforeRatio float64 // fraction of requests whose connection is closed before they run
 }
 
-// Service is a small back end whose requests may not be repeated. It remembers every run.
+// Service is a small back end whose requests must not run twice. It records every run.
 type Service struct {
 	config      ServiceConfig
 	log         *zap.Logger
@@ -38,12 +38,12 @@
 	draining bool
 }
 
-// NewService returns a service that has run nothing yet.
+// NewService returns a service without recorded runs.
 func NewService(config ServiceConfig, log *zap.Logger) *Service {
 	return &Service{config: config, log: log, incarnation: uint64(time.Now().UnixNano())}
 }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is done.
 func (s *Service) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+api.PathRun, s.serveRun)
@@ -59,7 +59,7 @@
 		return
 	}
 	if rand.Float64() < s.config.DropBeforeRatio {
-		panic(http.ErrAbortHandler) // the connection dies after the request was read
+		panic(http.ErrAbortHandler) // closes the connection; the request did not run
 	}
 	if !s.beginRun(request) {
 		writeJSON(w, http.StatusServiceUnavailable, api.BackendRejection{Run: core.RunNot, Draining: true})
@@ -68,13 +68,13 @@
 	time.Sleep(s.config.ServiceTime)
 	s.endRun()
 	if rand.Float64() < s.config.DropAfterRatio {
-		panic(http.ErrAbortHandler) // it ran, but the answer is lost
+		panic(http.ErrAbortHandler) // closes the connection; the request ran, but its response is lost
 	}
 	response := ledger.Response{Status: http.StatusOK, ContentType: "application/json", Body: ServiceResponse(request.Body)}
 	writeJSON(w, http.StatusOK, api.RunResponse{Attempt: request.Attempt, Response: response})
 }
 
-// beginRun records a run, unless the service is leaving.
+// beginRun records a run. It returns false if the service is draining.
 func (s *Service) beginRun(request api.RunRequest) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
