--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -15,27 +15,27 @@
 	"kitetiller/internal/prefix"
 )
 
-// VaultConfig is what a KV store process needs to start.
+// VaultConfig configures a KV store process.
 type VaultConfig struct {
 	Listen    string
-	MaxBlocks int // blocks kept; the least recently used go first
+	MaxBlocks int // beyond this, the least recently used are evicted
 }
 
-// Vault is a store of kept KV cache.
+// Vault is an LRU store of KV cache blocks. It keeps only their hashes.
 type Vault struct {
 	config   VaultConfig
 	log      *zap.Logger
 	mutex    sync.Mutex
 	elements map[prefix.Hash]*list.Element
-	order    *list.List // front is the oldest; values are prefix.Hash
+	order    *list.List // least recently used first; values are prefix.Hash
 }
 
-// NewVault returns an empty store.
+// NewVault returns an empty vault.
 func NewVault(config VaultConfig, log *zap.Logger) *Vault {
 	return &Vault{config: config, log: log, elements: map[prefix.Hash]*list.Element{}, order: list.New()}
 }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is done.
 func (v *Vault) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+api.PathKVMatch, func(w http.ResponseWriter, r *http.Request) {
@@ -54,7 +54,7 @@
 	return serve(ctx, v.config.Listen, mux, v.log)
 }
 
-// Match returns how many leading blocks are held and marks them as used.
+// Match returns how many leading blocks of a chain are stored and marks them as used.
 func (v *Vault) Match(chain []prefix.Hash) int {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -68,7 +68,7 @@
 	return matched
 }
 
-// Store stores the blocks of a chain.
+// Store adds the blocks of a chain and evicts the least recently used blocks beyond the capacity.
 func (v *Vault) Store(chain []prefix.Hash) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -84,14 +84,14 @@
 	}
 }
 
-// WeightStoreConfig is what a weight store process needs to start.
+// WeightStoreConfig configures a weight store process.
 type WeightStoreConfig struct {
 	Listen         string
-	LoadTime       time.Duration // of one engine alone
-	FullSpeedLimit int           // engines served at full speed
+	LoadTime       time.Duration // of a single engine
+	FullSpeedLimit int           // engines that can load at once at full speed
 }
 
-// WeightStore is the rate-limited weight store.
+// WeightStore simulates a weight store of limited bandwidth.
 type WeightStore struct {
 	config      WeightStoreConfig
 	log         *zap.Logger
@@ -99,12 +99,12 @@
 	activeLoads int
 }
 
-// NewWeightStore returns a store.
+// NewWeightStore returns a store without active loads.
 func NewWeightStore(config WeightStoreConfig, log *zap.Logger) *WeightStore {
 	return &WeightStore{config: config, log: log}
 }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is done.
 func (s *WeightStore) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+api.PathFetch, s.serveFetch)
@@ -127,14 +127,14 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// PlatformConfig is what the machine list process needs to start.
+// PlatformConfig configures a machine list process.
 type PlatformConfig struct {
 	Listen   string
-	Lag      time.Duration // age of the list that is shown
+	Lag      time.Duration // delay until an edit becomes visible
 	Machines []core.Machine
 }
 
-// Platform is the lagging list of live and leaving machines.
+// Platform serves the list of machines, with a delay as a real platform has.
 type Platform struct {
 	config  PlatformConfig
 	log     *zap.Logger
@@ -142,18 +142,18 @@
 	history []snapshot
 }
 
-// snapshot is the list as of a time.
+// snapshot is the machine list since a time.
 type snapshot struct {
 	at       time.Time
 	machines []core.Machine
 }
 
-// NewPlatform returns a list that shows its first content without lag.
+// NewPlatform returns a list whose initial machines are visible at once.
 func NewPlatform(config PlatformConfig, log *zap.Logger) *Platform {
 	return &Platform{config: config, log: log, history: []snapshot{{machines: config.Machines}}}
 }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is done.
 func (p *Platform) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathMachines, func(w http.ResponseWriter, _ *http.Request) {
@@ -163,7 +163,7 @@
 	return serve(ctx, p.config.Listen, mux, p.log)
 }
 
-// laggedMachines returns the newest list that is older than the lag.
+// laggedMachines returns the newest list that is at least Lag old, and drops older ones.
 func (p *Platform) laggedMachines(now time.Time) []core.Machine {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
