--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,5 @@
-// Package load is the callers of both users against real processes: nested prompts, streamed and not, small
-// service requests with resends, callers that hang up. It checks every answer and counts what callers saw.
+// Package load generates client load against running router processes: completions with nested shared prompts, streamed
+// and not, service requests with duplicates and retries, and clients that disconnect. It verifies every response.
 package load
 
 import (
@@ -24,47 +24,47 @@
 	histogramDigits   = 3
 	progressInterval  = 2 * time.Second
 	maxInFlight       = 2500
-	serviceRatio      = 0.2  // of requests that go to the small service
-	duplicateRatio    = 0.3  // of small service requests that are sent twice at once
-	disconnectRatio   = 0.02 // of streams whose caller hangs up
-	streamRatio       = 0.7  // of completions that are streamed
+	serviceRatio      = 0.2  // fraction of requests that go to the small service
+	duplicateRatio    = 0.3  // fraction of service requests that are sent twice concurrently
+	disconnectRatio   = 0.02 // fraction of streams whose client disconnects early
+	streamRatio       = 0.7  // fraction of completions that are streamed
 	serviceBodyFormat = `{"stop":%d,"bags":%d}`
 )
 
-// Options describe a run.
+// Options configure a load run.
 type Options struct {
 	Deployment             *plan.Deployment
 	Routers                []string
 	Keys                   []string // API keys; requests are spread over them
-	Backends               []string // small services, to read their runs afterwards; may be empty
+	Backends               []string // small services whose run records are checked at the end; may be empty
 	Duration               time.Duration
-	Rate                   float64 // requests a second
+	Rate                   float64 // requests per second
 	Seed                   uint64
-	AllowBrokenConnections bool // broken connections are expected, because a process is killed on purpose
-	Progress               io.Writer
-	ClientDisconnects      bool
-	SkipService            bool
+	AllowBrokenConnections bool      // set if processes are killed during the run
+	Progress               io.Writer // receives progress lines; may be nil
+	ClientDisconnects      bool      // some clients disconnect during a stream
+	SkipService            bool      // send completions only
 }
 
-// Result counts what callers saw.
+// Result counts outcomes as the clients saw them.
 type Result struct {
 	Requests          int            `json:"requests"`
 	Complete          int            `json:"complete"`
 	Rejected          int            `json:"refused"`
-	ErrorEvents       int            `json:"errors"` // error events in streams, and answers that say unknown
+	ErrorEvents       int            `json:"errors"` // streams that ended with an error event
 	BrokenConnections int            `json:"broken_connections"`
 	ClientDisconnects int            `json:"hung_up"`
-	Lost              int            `json:"lost"` // no answer, or an end that was neither complete nor an error
+	Lost              int            `json:"lost"` // streams that ended incomplete without an error event
 	Duplicated        int            `json:"duplicated"`
 	OutOfOrder        int            `json:"out_of_order"`
 	WrongAnswer       int            `json:"wrong_answer"`
-	FalseNotRun       int            `json:"false_not_run"` // refused as not run, yet the back end ran it
+	FalseNotRun       int            `json:"false_not_run"` // rejected as not run, but recorded as run by the back end
 	Reasons           map[string]int `json:"reasons"`
 	FirstTokens       Quantiles      `json:"first_token_ms"`
 	Service           Quantiles      `json:"service_ms"`
 }
 
-// Quantiles are milliseconds.
+// Quantiles summarize a latency distribution in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -73,7 +73,7 @@
 	Max   float64 `json:"max"`
 }
 
-// Passed reports whether nothing was lost, doubled, reordered or wrong.
+// Passed reports whether there were completions and no response was lost, duplicated, out of order or wrong.
 func (r Result) Passed(allowBroken bool) bool {
 	violations := r.Lost + r.Duplicated + r.OutOfOrder + r.WrongAnswer + r.FalseNotRun
 	if !allowBroken {
@@ -82,7 +82,7 @@
 	return violations == 0 && r.Complete > 0
 }
 
-// runner is a run in progress.
+// runner is the state of a load run.
 type runner struct {
 	options    Options
 	client     *http.Client
@@ -90,14 +90,14 @@
 	result     Result
 	firstToken *hdrhistogram.Histogram
 	service    *hdrhistogram.Histogram
-	notRun     map[string]bool // keys whose last answer said not run
-	sent       map[string]bool // keys ever sent
+	notRun     map[string]bool // idempotency keys of requests rejected as not run
+	sent       map[string]bool // idempotency keys of all service requests
 }
 
-// Run sends requests until the duration has passed and every answer is in.
+// Run sends requests for the configured duration, waits for all responses, and checks the runs of the small services.
 func Run(ctx context.Context, options Options) (Result, error) {
 	if len(options.Routers) == 0 || len(options.Keys) == 0 {
-		return Result{}, eris.New("at least one router and one API key are needed")
+		return Result{}, eris.New("load: Options need at least one router and one API key")
 	}
 	r := &runner{
 		options:    options,
@@ -120,7 +120,7 @@
 	return Quantiles{Count: h.TotalCount(), P50: ms(50), P95: ms(95), P99: ms(99), Max: float64(h.Max()) / 1000}
 }
 
-// generate sends requests at the wanted rate.
+// generate sends requests at the configured rate and waits for their responses.
 func (r *runner) generate(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.options.Seed, 3))
 	scale := r.options.Rate / r.options.Deployment.Traffic.RequestsPerSecond
@@ -168,7 +168,7 @@
 	r.completion(ctx, number, prompt, random)
 }
 
-// updateResult changes the result under the lock.
+// updateResult changes the result with the mutex locked.
 func (r *runner) updateResult(update func(*Result)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
