--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -24,7 +24,7 @@
 
 const maxLineBytes = 1 << 20
 
-// completion sends one prompt, streamed or not, and checks the answer.
+// completion sends one prompt, streamed or not, and checks the response.
 func (r *runner) completion(ctx context.Context, number int, prompt traffic.Prompt, random *rand.Rand) {
 	body := api.CompletionRequest{
 		Model: r.options.Deployment.Model.Name, Prompt: prompt.Text, MaxTokens: prompt.MaxTokens,
@@ -63,12 +63,12 @@
 	}
 }
 
-// expectation is what the answer to a prompt must be.
+// expectation describes the correct response to a prompt.
 type expectation struct {
 	digest          uint64
 	seed            uint64
 	tokens          int
-	disconnectAfter int // tokens; 0 never
+	disconnectAfter int // tokens after which the client disconnects; 0 disables
 }
 
 func (e expectation) tokenText(index int) string { return standin.TokenText(e.digest, e.seed, index) }
@@ -81,8 +81,8 @@
 	return data
 }
 
-// send posts a body to a router. A router that takes no connections, or says that it is stopping, is passed over for
-// another one, as callers with a list of routers do.
+// send posts a body to a router. If that router refuses connections or reports that it is draining, send tries the others
+// in turn, like a client with a list of routers.
 func (r *runner) send(ctx context.Context, router, path, key string, headers map[string]string, body []byte) (*http.Response, error) {
 	for _, address := range append([]string{router}, r.options.Routers...) {
 		response, err := r.sendTo(ctx, address, path, key, headers, body)
@@ -99,14 +99,14 @@
 	return nil, errNoRouter
 }
 
-var errNoRouter = eris.New("no router takes requests")
+var errNoRouter = eris.New("all routers refused the connection or are draining")
 
 func (r *runner) sendTo(ctx context.Context, router, path, key string, headers map[string]string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	request.GetBody = nil // never send twice by itself
+	request.GetBody = nil // keeps the transport from retrying
 	request.Header.Set("Authorization", "Bearer "+key)
 	for name, value := range headers {
 		request.Header.Set(name, value)
@@ -114,10 +114,10 @@
 	return r.client.Do(request)
 }
 
-// recordRejection counts an error answer.
+// recordRejection counts an error response by reason.
 func (r *runner) recordRejection(response *http.Response) api.Problem {
 	var problem api.Problem
-	_ = json.NewDecoder(response.Body).Decode(&problem) // an unreadable one counts as a refusal without reason
+	_ = json.NewDecoder(response.Body).Decode(&problem) // an undecodable one counts as a rejection without reason
 	r.updateResult(func(result *Result) {
 		result.Rejected++
 		result.Reasons[strings.TrimPrefix(problem.Type, "urn:kitetiller:")+"/"+string(problem.Run)]++
@@ -125,7 +125,7 @@
 	return problem
 }
 
-// checkStream reads server-sent events and checks each token.
+// checkStream reads server-sent events, checks each token and counts how the stream ended.
 func (r *runner) checkStream(body io.Reader, expect expectation, started time.Time) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
@@ -169,10 +169,10 @@
 func (r *runner) recordFirstToken(started time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	_ = r.firstToken.RecordValue(time.Since(started).Microseconds()) // beyond the range only after the timeout
+	_ = r.firstToken.RecordValue(time.Since(started).Microseconds()) // latencies beyond the range are dropped
 }
 
-// checkChunk checks one token's position and text and returns the next position.
+// checkChunk checks the position and text of one token and returns the next expected position.
 func (r *runner) checkChunk(data string, position, next int, expect expectation) int {
 	var chunk api.CompletionResponse
 	if json.Unmarshal([]byte(data), &chunk) != nil || len(chunk.Choices) != 1 {
@@ -210,7 +210,7 @@
 	})
 }
 
-// checkUnstreamed compares a whole answer.
+// checkUnstreamed checks a response that is not streamed.
 func (r *runner) checkUnstreamed(body io.Reader, expect expectation, started time.Time) {
 	data, err := io.ReadAll(body)
 	if err != nil {
@@ -230,7 +230,7 @@
 		}
 		correct = text == want.String()
 	}
-	_ = started // whole answers have no first token of their own
+	_ = started // an unstreamed response has no time to first token
 	r.updateResult(func(result *Result) {
 		if correct {
 			result.Complete++
