--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -24,8 +24,8 @@
 	runsTimeout        = 5 * time.Second
 )
 
-// sendServiceRequest sends a non-repeatable request, sometimes twice at once to two routers, and sends it again
-// with the same key while its result is not known.
+// sendServiceRequest sends a request that must not run twice. Some are sent by two clients concurrently; each retries
+// with the same idempotency key.
 func (r *runner) sendServiceRequest(ctx context.Context, number int, random *rand.Rand) {
 	idempotencyKey := fmt.Sprintf("load-%d-%d", r.options.Seed, number)
 	body := fmt.Appendf(nil, serviceBodyFormat, number, random.IntN(90))
@@ -45,7 +45,7 @@
 	r.recordServiceOutcome(idempotencyKey, outcomes, started)
 }
 
-// serviceOutcome is what one sender finally learned.
+// serviceOutcome is the outcome of a service request as one client saw it.
 type serviceOutcome struct {
 	complete bool
 	wrong    bool
@@ -53,7 +53,7 @@
 	problem  *api.Problem
 }
 
-// sendServiceWithRetries sends until it has an answer or a refusal that will not change.
+// sendServiceWithRetries sends a request until its outcome is final or the attempts are used up.
 func (r *runner) sendServiceWithRetries(ctx context.Context, idempotencyKey, apiKey string, body []byte, random *rand.Rand) serviceOutcome {
 	var last serviceOutcome
 	for attempt := 0; attempt < maxServiceAttempts && ctx.Err() == nil; attempt++ {
@@ -66,7 +66,7 @@
 	return last
 }
 
-// retryable reports whether sending once more can help.
+// retryable reports whether another attempt can have a different outcome.
 func (o serviceOutcome) retryable() bool {
 	return o.broken || (o.problem != nil && o.problem.RetryAfter > 0)
 }
@@ -91,10 +91,10 @@
 	return serviceOutcome{complete: true, wrong: !bytes.Equal(data, standin.ServiceResponse(body))}
 }
 
-// recordServiceOutcome counts one request by the best of what its senders learned.
+// recordServiceOutcome counts one request: as complete if any of its clients saw it complete.
 func (r *runner) recordServiceOutcome(idempotencyKey string, outcomes []serviceOutcome, started time.Time) {
 	r.updateResult(func(result *Result) {
-		_ = r.service.RecordValue(time.Since(started).Microseconds()) // beyond the range only after the timeout
+		_ = r.service.RecordValue(time.Since(started).Microseconds()) // latencies beyond the range are dropped
 		best := outcomes[0]
 		for _, outcome := range outcomes {
 			if outcome.wrong {
@@ -121,7 +121,8 @@
 	})
 }
 
-// checkServiceRuns reads what the small services ran: no key twice, and none that was refused as not run.
+// checkServiceRuns reads the run records of the small services and counts idempotency keys that ran more than once and
+// requests that ran although they were rejected as not run.
 func (r *runner) checkServiceRuns() error {
 	runCounts := map[string]int{}
 	for _, address := range r.options.Backends {
@@ -151,13 +152,13 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+api.PathRuns, nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "make request")
+		return nil, eris.Wrap(err, "create request for run records")
 	}
 	response, err := r.client.Do(request)
 	if err != nil {
-		return nil, eris.Wrapf(err, "read the runs of %s", address)
+		return nil, eris.Wrapf(err, "read run records of %s", address)
 	}
 	defer response.Body.Close()
 	var runs []api.RunRecord
-	return runs, eris.Wrap(json.NewDecoder(response.Body).Decode(&runs), "decode runs")
+	return runs, eris.Wrap(json.NewDecoder(response.Body).Decode(&runs), "decode run records")
 }
