--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -19,7 +19,7 @@
 // Rates are the speeds and capacities of an engine.
 type Rates struct {
 	PrefillTokensPerSecond float64       `json:"prefill_tokens_per_s"`   // prompt tokens prefilled per second
-	ImportTokensPerSecond  float64       `json:"import_tokens_per_s"`    // cached tokens copied from other stores per second
+	ImportTokensPerSecond  float64       `json:"import_tokens_per_s"`    // cached tokens imported per second
 	DecodeStep             time.Duration `json:"decode_step_ns"`         // base duration of a decode step
 	DecodePerSeq           time.Duration `json:"decode_per_sequence_ns"` // added for each decoding sequence
 	ChunkTokens            int           `json:"chunk_tokens"`           // maximum prompt tokens prefilled in one step
--- a/internal/lab/engine/report.go
+++ b/internal/lab/engine/report.go
@@ -75,8 +75,8 @@
 // Loading reports whether weights are being loaded.
 func (m *Model) Loading() bool { return m.loadEndsAt > 0 }
 
-// HandleCall applies a fenced call and reports whether it was accepted. Calls with a fence lower than an earlier one and
-// orders for another incarnation are rejected. loadTime is how long the weights take to load.
+// HandleCall applies a fenced call and reports whether it was accepted. Calls with a fence lower than an earlier one
+// and orders for another incarnation are rejected. loadTime is how long the weights take to load.
 func (m *Model) HandleCall(now time.Duration, call control.EngineCall, loadTime time.Duration) bool {
 	m.now = max(m.now, now)
 	if m.guards.On(guard.FenceCheck) && call.Fence.Less(m.fence) {
--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -81,8 +81,8 @@
 	return data
 }
 
-// send posts a body to a router. If that router refuses connections or reports that it is draining, send tries the others
-// in turn, like a client with a list of routers.
+// send posts a body to a router. If that router refuses connections or reports that it is draining, send tries the
+// others in turn, like a client with a list of routers.
 func (r *runner) send(ctx context.Context, router, path, key string, headers map[string]string, body []byte) (*http.Response, error) {
 	for _, address := range append([]string{router}, r.options.Routers...) {
 		response, err := r.sendTo(ctx, address, path, key, headers, body)
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -282,7 +282,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveOrder handles a fenced call. If it starts a load, the weights are fetched from the weight store in the background.
+// serveOrder handles a fenced call. If it starts a load, the weights are fetched from the weight store in the
+// background.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var call control.EngineCall
 	if !readJSON(w, r, &call) {
