--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -94,7 +94,7 @@
 	stale := newTestJob(2, chainOf(1, 20), 1)
 	stale.Incarnation = 7
 	if result := model.Submit(model.now, stale); result != AcceptedWithoutReuse {
-		t.Fatalf("result %v, want TakenWithoutReuse", result)
+		t.Fatalf("result %v, want AcceptedWithoutReuse", result)
 	}
 	if outputs := runUntilIdle(model); outputs[0].Cached != 0 {
 		t.Fatalf("%d cached tokens reused for another incarnation, want 0", outputs[0].Cached)
@@ -115,7 +115,7 @@
 	model := newTestModel()
 	model.SetDraining(true)
 	if result := model.Submit(0, newTestJob(1, chainOf(1, 2), 1)); result != RejectedDraining {
-		t.Fatalf("result %v, want RefusedLeaving", result)
+		t.Fatalf("result %v, want RejectedDraining", result)
 	}
 }
 
