--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -305,7 +305,7 @@
 	slices.SortStableFunc(m.waiting, func(a, b *sequence) int { return int(a.job.Lane) - int(b.job.Lane) })
 	for len(m.waiting) > 0 && len(m.running) < m.rates.MaxBatch {
 		next := m.waiting[0]
-		if openTokens := m.competingPrefillTokens(next.job.Lane); openTokens >= m.rates.ChunkTokens {
+		if pendingTokens := m.competingPrefillTokens(next.job.Lane); pendingTokens >= m.rates.ChunkTokens {
 			break
 		}
 		m.waiting = m.waiting[1:]
