--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -236,11 +236,11 @@
 func (m *Model) Advance(now time.Duration) []Output {
 	var outputs []Output
 	for {
-		due, scheduled := m.NextWakeup()
-		if !scheduled || due > now {
+		wakeup, scheduled := m.NextWakeup()
+		if !scheduled || wakeup > now {
 			break
 		}
-		m.now = max(m.now, due)
+		m.now = max(m.now, wakeup)
 		m.finishLoad()
 		if m.stepEnd > 0 && m.stepEnd <= m.now {
 			outputs = m.endStep(outputs)
