--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -180,7 +180,7 @@
 // eventsAfter returns the reported events that start at sequence number from and happened no later than by, and the
 // next sequence number to ask for.
 func (c *cache) eventsAfter(from uint64, by time.Duration) ([]core.CacheEvent, uint64) {
-	var found []core.CacheEvent
+	var reported []core.CacheEvent
 	next := from
 	if len(c.events) > 0 && from < c.events[0].event.Sequence {
 		next = c.events[0].event.Sequence
@@ -195,10 +195,10 @@
 		}
 		next = recorded.event.Sequence + 1
 		if !recorded.lost {
-			found = append(found, recorded.event)
+			reported = append(reported, recorded.event)
 		}
 	}
-	return found, next
+	return reported, next
 }
 
 // blockHashes lists the cached blocks, least recently used first.
