--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -179,7 +179,7 @@
 
 // eventsAfter returns the reported events that start at sequence number from and happened no later than by, and the
 // next sequence number to ask for.
-func (c *cache) eventsAfter(from uint64, by time.Duration) ([]core.CacheEvent, uint64) {
+func (c *cache) eventsAfter(from uint64, until time.Duration) ([]core.CacheEvent, uint64) {
 	var reported []core.CacheEvent
 	next := from
 	if len(c.events) > 0 && from < c.events[0].event.Sequence {
@@ -190,7 +190,7 @@
 		start = int(min(next-c.events[0].event.Sequence, uint64(len(c.events))))
 	}
 	for _, recorded := range c.events[start:] {
-		if recorded.at > by {
+		if recorded.at > until {
 			break
 		}
 		next = recorded.event.Sequence + 1
