--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -36,7 +36,7 @@
 	random          *rand.Rand
 	blocks          map[prefix.Hash]*block
 	order           *list.List // least recently used first
-	sequence        uint64     // of the next event
+	nextSequence    uint64     // of the next event
 	events          []timedEvent
 	lastEvictionAge time.Duration // time since last use of the block that was evicted last
 }
@@ -169,9 +169,9 @@
 	}
 	lost := c.random.Float64() < c.rates.EventLossRatio
 	c.events = append(c.events, timedEvent{
-		at: now, lost: lost, event: core.CacheEvent{Sequence: c.sequence, Stored: stored, Evicted: evicted},
+		at: now, lost: lost, event: core.CacheEvent{Sequence: c.nextSequence, Stored: stored, Evicted: evicted},
 	})
-	c.sequence++
+	c.nextSequence++
 	if len(c.events) > maxEvents {
 		c.events = append([]timedEvent(nil), c.events[len(c.events)-maxEvents/2:]...)
 	}
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -406,4 +406,6 @@
 func (m *Model) CachedPrefix(chain []prefix.Hash) int { return m.cache.peek(chain) }
 
 // Snapshot returns all cached blocks and the sequence number of the next event.
-func (m *Model) Snapshot() ([]prefix.Hash, uint64) { return m.cache.blockHashes(), m.cache.sequence }
+func (m *Model) Snapshot() ([]prefix.Hash, uint64) {
+	return m.cache.blockHashes(), m.cache.nextSequence
+}
