--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -294,9 +294,9 @@
 
 // runningByLane returns the running sequences by lane, interactive first, in order of admission within a lane.
 func (m *Model) runningByLane() []*sequence {
-	ordered := slices.Clone(m.running)
-	slices.SortStableFunc(ordered, func(a, b *sequence) int { return int(a.job.Lane) - int(b.job.Lane) })
-	return ordered
+	sorted := slices.Clone(m.running)
+	slices.SortStableFunc(sorted, func(a, b *sequence) int { return int(a.job.Lane) - int(b.job.Lane) })
+	return sorted
 }
 
 // admitWaiting moves waiting jobs into the batch, interactive ones first. It stops once the pending prefill fills a
