--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -113,11 +113,11 @@
 			e.model.Cancel(output.Job.Origin, output.Job.Attempt)
 		}
 	}
-	due, scheduled := e.model.NextWakeup()
+	wakeup, scheduled := e.model.NextWakeup()
 	if !scheduled {
 		return maxAdvanceInterval
 	}
-	return max(0, min(due-e.now(), maxAdvanceInterval))
+	return max(0, min(wakeup-e.now(), maxAdvanceInterval))
 }
 
 func (e *Engine) wakeModel() {
