--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -136,10 +136,10 @@
 
 // Platform serves the list of machines, with a delay as a real platform has.
 type Platform struct {
-	config  PlatformConfig
-	log     *zap.Logger
-	mutex   sync.Mutex
-	history []snapshot
+	config    PlatformConfig
+	log       *zap.Logger
+	mutex     sync.Mutex
+	snapshots []snapshot
 }
 
 // snapshot is the machine list since a time.
@@ -150,7 +150,7 @@
 
 // NewPlatform returns a list whose initial machines are visible at once.
 func NewPlatform(config PlatformConfig, log *zap.Logger) *Platform {
-	return &Platform{config: config, log: log, history: []snapshot{{machines: config.Machines}}}
+	return &Platform{config: config, log: log, snapshots: []snapshot{{machines: config.Machines}}}
 }
 
 // Run serves requests until ctx is done.
@@ -167,10 +167,10 @@
 func (p *Platform) laggedMachines(now time.Time) []core.Machine {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for len(p.history) > 1 && now.Sub(p.history[1].at) >= p.config.Lag {
-		p.history = p.history[1:]
+	for len(p.snapshots) > 1 && now.Sub(p.snapshots[1].at) >= p.config.Lag {
+		p.snapshots = p.snapshots[1:]
 	}
-	return p.history[0].machines
+	return p.snapshots[0].machines
 }
 
 func (p *Platform) serveMachineEdit(w http.ResponseWriter, r *http.Request) {
@@ -181,7 +181,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var machines []core.Machine
-	for _, machine := range p.history[len(p.history)-1].machines {
+	for _, machine := range p.snapshots[len(p.snapshots)-1].machines {
 		if machine.Name == edit.Name {
 			if edit.Removed {
 				continue
@@ -190,6 +190,6 @@
 		}
 		machines = append(machines, machine)
 	}
-	p.history = append(p.history, snapshot{at: time.Now(), machines: machines})
+	p.snapshots = append(p.snapshots, snapshot{at: time.Now(), machines: machines})
 	w.WriteHeader(http.StatusOK)
 }
