--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -38,8 +38,8 @@
 		outcomes = make([]serviceOutcome, 2)
 	}
 	for i := range outcomes {
-		local := rand.New(rand.NewPCG(random.Uint64(), 11))
-		senders.Go(func() { outcomes[i] = r.sendServiceWithRetries(ctx, idempotencyKey, apiKey, body, local) })
+		senderRandom := rand.New(rand.NewPCG(random.Uint64(), 11))
+		senders.Go(func() { outcomes[i] = r.sendServiceWithRetries(ctx, idempotencyKey, apiKey, body, senderRandom) })
 	}
 	senders.Wait()
 	r.recordServiceOutcome(idempotencyKey, outcomes, started)
