--- a/internal/lab/load/service.go
+++ b/internal/lab/load/service.go
@@ -47,10 +47,10 @@
 
 // serviceOutcome is the outcome of a service request as one client saw it.
 type serviceOutcome struct {
-	complete bool
-	wrong    bool
-	broken   bool
-	problem  *api.Problem
+	complete         bool
+	wrong            bool
+	connectionBroken bool
+	problem          *api.Problem
 }
 
 // sendServiceWithRetries sends a request until its outcome is final or the attempts are used up.
@@ -68,25 +68,25 @@
 
 // retryable reports whether another attempt can have a different outcome.
 func (o serviceOutcome) retryable() bool {
-	return o.broken || (o.problem != nil && o.problem.RetryAfter > 0)
+	return o.connectionBroken || (o.problem != nil && o.problem.RetryAfter > 0)
 }
 
 func (r *runner) sendServiceOnce(ctx context.Context, idempotencyKey, apiKey string, body []byte, random *rand.Rand) serviceOutcome {
 	response, err := r.send(ctx, r.randomRouter(random), "/v1/services/"+r.options.Deployment.Small.Name, apiKey, map[string]string{api.HeaderIdempotencyKey: idempotencyKey}, body)
 	if err != nil {
-		return serviceOutcome{broken: true}
+		return serviceOutcome{connectionBroken: true}
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		problem := &api.Problem{}
 		if json.NewDecoder(response.Body).Decode(problem) != nil {
-			return serviceOutcome{broken: true}
+			return serviceOutcome{connectionBroken: true}
 		}
 		return serviceOutcome{problem: problem}
 	}
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		return serviceOutcome{broken: true}
+		return serviceOutcome{connectionBroken: true}
 	}
 	return serviceOutcome{complete: true, wrong: !bytes.Equal(data, standin.ServiceResponse(body))}
 }
