--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -24,8 +24,8 @@
 
 const maxLineBytes = 1 << 20
 
-// completion sends one prompt, streamed or not, and checks the response.
-func (r *runner) completion(ctx context.Context, number int, prompt traffic.Prompt, random *rand.Rand) {
+// sendCompletion sends one prompt, streamed or not, and checks the response.
+func (r *runner) sendCompletion(ctx context.Context, number int, prompt traffic.Prompt, random *rand.Rand) {
 	body := api.CompletionRequest{
 		Model: r.options.Deployment.Model.Name, Prompt: prompt.Text, MaxTokens: prompt.MaxTokens,
 		Stream: random.Float64() < streamRatio, Seed: uint64(number) + 1,
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -165,7 +165,7 @@
 		r.sendServiceRequest(ctx, number, random)
 		return
 	}
-	r.completion(ctx, number, prompt, random)
+	r.sendCompletion(ctx, number, prompt, random)
 }
 
 // updateResult changes the result with the mutex locked.
