--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -129,7 +129,7 @@
 func (r *runner) checkStream(body io.Reader, expect expectation, started time.Time) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
-	next, failed := 0, false
+	nextPosition, failed := 0, false
 	position := 0
 	for scanner.Scan() {
 		line := scanner.Text()
@@ -141,17 +141,17 @@
 		switch {
 		case !found:
 		case data == api.StreamEnd:
-			r.recordStreamEnd(next, expect)
+			r.recordStreamEnd(nextPosition, expect)
 			return
 		case failed:
 			r.updateResult(func(result *Result) { result.ErrorEvents++ })
 			return
 		default:
-			if next == 0 {
+			if nextPosition == 0 {
 				r.recordFirstToken(started)
 			}
-			next = r.checkChunk(data, position, next, expect)
-			if expect.disconnectAfter > 0 && next >= expect.disconnectAfter {
+			nextPosition = r.checkChunk(data, position, nextPosition, expect)
+			if expect.disconnectAfter > 0 && nextPosition >= expect.disconnectAfter {
 				r.updateResult(func(result *Result) { result.ClientDisconnects++ })
 				return
 			}
