--- a/internal/lab/load/completion.go
+++ b/internal/lab/load/completion.go
@@ -173,15 +173,15 @@
 }
 
 // checkChunk checks the position and text of one token and returns the next expected position.
-func (r *runner) checkChunk(data string, position, next int, expect expectation) int {
+func (r *runner) checkChunk(data string, position, nextPosition int, expect expectation) int {
 	var chunk api.CompletionResponse
 	if json.Unmarshal([]byte(data), &chunk) != nil || len(chunk.Choices) != 1 {
 		r.updateResult(func(result *Result) { result.WrongAnswer++ })
-		return next
+		return nextPosition
 	}
 	choice := chunk.Choices[0]
 	if choice.FinishReason != nil {
-		return next
+		return nextPosition
 	}
 	text := choice.Text
 	if choice.Delta != nil {
@@ -189,15 +189,15 @@
 	}
 	r.updateResult(func(result *Result) {
 		switch {
-		case position < next:
+		case position < nextPosition:
 			result.Duplicated++
-		case position > next:
+		case position > nextPosition:
 			result.OutOfOrder++
 		case text != expect.tokenText(position):
 			result.WrongAnswer++
 		}
 	})
-	return max(next, position+1)
+	return max(nextPosition, position+1)
 }
 
 func (r *runner) recordStreamEnd(tokens int, expect expectation) {
