--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -36,7 +36,7 @@
 	random          *rand.Rand
 	blocks          map[prefix.Hash]*block
 	order           *list.List // least recently used first
-	nextSequence    uint64     // of the next event
+	nextSequence    uint64     // sequence number of the next event
 	events          []timedEvent
 	lastEvictionAge time.Duration // time since last use of the block that was evicted last
 }
