--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -132,12 +132,12 @@
 	if !readJSON(w, r, &request) {
 		return
 	}
-	state := &jobStream{outputs: make(chan engine.Output, outputQueueSize)}
+	stream := &jobStream{outputs: make(chan engine.Output, outputQueueSize)}
 	job := &engine.Job{
 		Attempt: request.Attempt, Origin: request.Router, Tenant: request.Tenant, Blocks: request.Blocks,
 		PromptTokens: request.PromptTokens, MaxTokens: request.MaxTokens, ResumeFrom: request.ResumeFrom,
 		Lane: request.Lane, Incarnation: request.Incarnation, Weights: request.Weights, ExpectedCachedTokens: request.ExpectedCachedTokens,
-		ImportFrom: request.ImportFrom, ImportBlocks: request.ImportBlocks, UserData: state,
+		ImportFrom: request.ImportFrom, ImportBlocks: request.ImportBlocks, UserData: stream,
 	}
 	e.mutex.Lock()
 	result := e.model.Submit(e.now(), job)
