--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -36,7 +36,7 @@
 	random          *rand.Rand
 	blocks          map[prefix.Hash]*block
 	order           *list.List // least recently used first
-	nextSequence    uint64     // sequence number of the next event
+	nextSequence    uint64
 	events          []timedEvent
 	lastEvictionAge time.Duration // time since last use of the block that was evicted last
 }
@@ -177,8 +177,8 @@
 	}
 }
 
-// eventsAfter returns the reported events that start at sequence number from and happened no later than by, and the
-// next sequence number to ask for.
+// eventsAfter returns the events from sequence number from on that happened until the given time and were not lost, and
+// the next sequence number to ask for.
 func (c *cache) eventsAfter(from uint64, until time.Duration) ([]core.CacheEvent, uint64) {
 	var reported []core.CacheEvent
 	next := from
