--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -111,8 +111,8 @@
 	})
 }
 
-// handoverPauseOver reports whether every other leader's order to a back end was sent at least Config.WeightsOrderDelay ago. An
-// order may be sent up to maxOrderAge after its announcement.
+// handoverPauseOver reports whether every other leader's order to a back end was sent at least
+// Config.WeightsOrderDelay ago. An order may be sent up to maxOrderAge after its announcement.
 func (r *Replica) handoverPauseOver(now time.Duration, id string) bool {
 	at, ordered := r.lastForeignOrder(id)
 	return !ordered || now >= at+maxOrderAge+r.config.WeightsOrderDelay || !r.config.Guards.On(guard.WeightsOrderDelay)
