--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -29,7 +29,7 @@
 func (r *Replica) allocateShares(now time.Duration, client uint64, request allowance.Request) {
 	r.updateLimits(now)
 	reply := r.leader.lending.allocator.Allocate(now, request)
-	r.reply(client, Response{Kind: ResponseOK, Lent: &reply})
+	r.reply(client, Response{Kind: ResponseOK, AllowanceReply: &reply})
 }
 
 // updateLimits applies the limits of the document in force and withholds the fallback shares of disconnected gateways.
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -28,10 +28,10 @@
 	s.t.Helper()
 	request := allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{{Name: quota.Tenant("north"), Amount: amount}}}
 	response := s.ask(Request{Borrow: &request})
-	if response.Lent == nil {
+	if response.AllowanceReply == nil {
 		s.t.Fatalf("%+v", response)
 	}
-	return response.Lent.Grants[0].Amount
+	return response.AllowanceReply.Grants[0].Amount
 }
 
 // TestGrantsStayWithinLimit also checks that a new leader starts with nothing to grant, so that it does not grant again
@@ -134,10 +134,10 @@
 	s.t.Helper()
 	item := allowance.RequestItem{Name: quota.Backend("i-1"), Amount: 1, Advertised: &allowance.AdvertisedLimit{Rate: rate, Age: age}}
 	response := s.ask(Request{Borrow: &allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{item}}})
-	if response.Lent == nil || !response.Lent.Grants[0].Enforced {
+	if response.AllowanceReply == nil || !response.AllowanceReply.Grants[0].Enforced {
 		s.t.Fatalf("%+v", response)
 	}
-	return response.Lent.Grants[0].Amount
+	return response.AllowanceReply.Grants[0].Amount
 }
 
 // TestGrantsStayWithinAdvertisedLimit checks that the gateways together get no more than a back end advertises, from
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -163,7 +163,7 @@
 	Catalog         *catalog.Outcome  `json:"catalog,omitempty"`
 	Watch           *WatchReply       `json:"watch,omitempty"`
 	Document        *catalog.Document `json:"document,omitempty"`
-	Lent            *allowance.Reply  `json:"lent,omitempty"`
+	AllowanceReply  *allowance.Reply  `json:"lent,omitempty"`
 	Relayed         *relay.Reply      `json:"relayed,omitempty"`
 	UnknownBackends []string          `json:"strangers,omitempty"` // back ends whose next heartbeat must be a full one
 }
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -82,10 +82,10 @@
 	if err != nil {
 		return allowance.Reply{}, err
 	}
-	if response.Kind != control.ResponseOK || response.Lent == nil {
+	if response.Kind != control.ResponseOK || response.AllowanceReply == nil {
 		return allowance.Reply{}, eris.Errorf("unexpected response from control: %s", response.Kind)
 	}
-	return *response.Lent, nil
+	return *response.AllowanceReply, nil
 }
 
 // acquireRetry acquires one retry of a request to a service, from this gateway's budget or else by a lease from the
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -161,8 +161,8 @@
 	g.lender.once(control.Request{Borrow: &question}, permitTimeout, func(response control.Response, answered bool) {
 		g.asking = false
 		var hold allowance.Lease
-		if answered && response.Lent != nil {
-			hold = g.borrower.ApplyReply(g.clock(), asked, wants, *response.Lent)[0].Lease
+		if answered && response.AllowanceReply != nil {
+			hold = g.borrower.ApplyReply(g.clock(), asked, wants, *response.AllowanceReply)[0].Lease
 		} else {
 			hold, _ = g.borrower.TakeFallback(g.clock(), wants[0].Name, 1)
 		}
