--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -160,8 +160,8 @@
 		r.handleWatch(now, client, *request.Watch)
 	case request.Relay != nil:
 		r.handleRelay(now, client, *request.Relay)
-	case request.Borrow != nil:
-		r.allocateShares(now, client, *request.Borrow)
+	case request.AllowanceRequest != nil:
+		r.allocateShares(now, client, *request.AllowanceRequest)
 	case request.Document != nil:
 		r.reply(client, Response{Kind: ResponseOK, Document: r.machine.catalog.Document()})
 	case request.Read != nil:
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -27,7 +27,7 @@
 func (s *singleReplica) requestShare(gateway string, amount float64) float64 {
 	s.t.Helper()
 	request := allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{{Name: quota.Tenant("north"), Amount: amount}}}
-	response := s.ask(Request{Borrow: &request})
+	response := s.ask(Request{AllowanceRequest: &request})
 	if response.AllowanceReply == nil {
 		s.t.Fatalf("%+v", response)
 	}
@@ -133,7 +133,7 @@
 func (s *singleReplica) requestAdvertisedShare(gateway string, rate float64, age time.Duration) float64 {
 	s.t.Helper()
 	item := allowance.RequestItem{Name: quota.Backend("i-1"), Amount: 1, Advertised: &allowance.AdvertisedLimit{Rate: rate, Age: age}}
-	response := s.ask(Request{Borrow: &allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{item}}})
+	response := s.ask(Request{AllowanceRequest: &allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{item}}})
 	if response.AllowanceReply == nil || !response.AllowanceReply.Grants[0].Enforced {
 		s.t.Fatalf("%+v", response)
 	}
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -30,8 +30,8 @@
 	Watch             *Watch             `json:"watch,omitempty"`
 	Document          *DocumentRequest   `json:"document,omitempty"`
 
-	Relay  *relay.Request     `json:"relay,omitempty"`  // from a follower that answers gateways
-	Borrow *allowance.Request `json:"borrow,omitempty"` // from a gateway: requests shares of fleet-wide limits
+	Relay            *relay.Request     `json:"relay,omitempty"`  // from a follower that answers gateways
+	AllowanceRequest *allowance.Request `json:"borrow,omitempty"` // from a gateway: requests shares of fleet-wide limits
 }
 
 // DocumentRequest asks for the routing document in force.
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -78,7 +78,7 @@
 	if !g.group.AnsweredWithin(controlContactWindow) {
 		ask = g.group.AskAny
 	}
-	response, err := ask(ctx, control.Request{Borrow: &request})
+	response, err := ask(ctx, control.Request{AllowanceRequest: &request})
 	if err != nil {
 		return allowance.Reply{}, err
 	}
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -158,7 +158,7 @@
 	asked := g.clock()
 	question := g.borrower.NewRequest(asked, wants)
 	g.asking = true
-	g.lender.once(control.Request{Borrow: &question}, permitTimeout, func(response control.Response, answered bool) {
+	g.lender.once(control.Request{AllowanceRequest: &question}, permitTimeout, func(response control.Response, answered bool) {
 		g.asking = false
 		var hold allowance.Lease
 		if answered && response.AllowanceReply != nil {
