--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -99,10 +99,10 @@
 
 // applyWatchReply applies the part of a watch reply that every reply carries, and returns the versions whose age
 // regressed.
-func (t *table) applyWatchReply(now, asked time.Duration, reply *control.WatchReply) []belief.AgeRegression {
+func (t *table) applyWatchReply(now, sentAt time.Duration, reply *control.WatchReply) []belief.AgeRegression {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.published.Update(now, asked, reply.Version.Term, reply.Publications)
+	return t.published.Update(now, sentAt, reply.Version.Term, reply.Publications)
 }
 
 // setAssigned sets the back ends whose cache events this gateway reads.
