--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -48,13 +48,13 @@
 
 // Update applies an answer of control to a request sent at the time asked, and returns each version's first age
 // regression. term is that of the leader that confirmed the answer.
-func (n *PublishTimes) Update(now, asked time.Duration, term uint64, wanted []roster.Publication) []AgeRegression {
+func (n *PublishTimes) Update(now, sentAt time.Duration, term uint64, wanted []roster.Publication) []AgeRegression {
 	if !n.guards.On(guard.PublicationAgeMonotonic) {
 		clear(n.models)
 	}
 	var regressions []AgeRegression
 	for _, w := range wanted {
-		reported := asked - w.Age
+		reported := sentAt - w.Age
 		known := n.find(w.Model, w.Version)
 		if known == nil {
 			n.add(w.Model, publication{version: w.Version, term: term, at: reported, before: math.MaxInt64})
