--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -48,12 +48,12 @@
 
 // Update applies an answer of control to a request sent at the time asked, and returns each version's first age
 // regression. term is that of the leader that confirmed the answer.
-func (n *PublishTimes) Update(now, sentAt time.Duration, term uint64, wanted []roster.Publication) []AgeRegression {
+func (n *PublishTimes) Update(now, sentAt time.Duration, term uint64, publications []roster.Publication) []AgeRegression {
 	if !n.guards.On(guard.PublicationAgeMonotonic) {
 		clear(n.models)
 	}
 	var regressions []AgeRegression
-	for _, w := range wanted {
+	for _, w := range publications {
 		reported := sentAt - w.Age
 		known := n.find(w.Model, w.Version)
 		if known == nil {
