--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -159,13 +159,13 @@
 func (c *Client) AskAny(ctx context.Context, request Request) (Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	asked := map[string]bool{}
+	tried := map[string]bool{}
 	responses := make(chan Response, maxAttempts)
 	start := func(address string) {
-		if asked[address] || len(asked) >= maxAttempts {
+		if tried[address] || len(tried) >= maxAttempts {
 			return
 		}
-		asked[address] = true
+		tried[address] = true
 		go func() {
 			response, err := c.askAndTrackLeader(ctx, address, request)
 			if err != nil {
@@ -177,7 +177,7 @@
 	for range initialAttempts {
 		start(c.target())
 	}
-	for received := 0; received < len(asked); received++ {
+	for received := 0; received < len(tried); received++ {
 		response := <-responses
 		if response.Kind == ResponseOK {
 			return response, nil
