--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -169,7 +169,7 @@
 	slices.Sort(added)
 	if now >= r.leader.startedAt+r.viewExpiry() { // until then they may still use a view of the previous leader
 		for _, name := range r.machine.catalog.Gateways() {
-			if report, asked := r.leader.usage[name]; !asked || now-report.receivedAt > r.viewExpiry() {
+			if report, reported := r.leader.usage[name]; !reported || now-report.receivedAt > r.viewExpiry() {
 				removed = append(removed, name)
 			}
 		}
