--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -189,6 +189,6 @@
 		return true
 	}
 	known := r.machine.catalog.Gateways()
-	missing := slices.ContainsFunc(known, func(name string) bool { _, asked := r.leader.usage[name]; return !asked })
+	missing := slices.ContainsFunc(known, func(name string) bool { _, reported := r.leader.usage[name]; return !reported })
 	return len(known) > 0 && !missing
 }
