--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -92,7 +92,7 @@
 	}
 	if now < r.leader.startedAt+r.viewExpiry() {
 		for _, name := range r.machine.catalog.Gateways() {
-			if _, asked := r.leader.usage[name]; !asked {
+			if _, reported := r.leader.usage[name]; !reported {
 				total++
 				silent++
 			}
