--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -166,8 +166,8 @@
 // outdatedModel returns a model of which a ready back end holds an old version, and the version it should load.
 func (r *Replica) outdatedModel(instance catalog.Instance, state *backendState) (string, uint64, bool) {
 	for model, loaded := range state.versions {
-		if wanted := r.machine.catalog.LatestVersions()[model]; wanted > loaded && instance.State == catalog.StateReady {
-			return model, wanted, true
+		if latest := r.machine.catalog.LatestVersions()[model]; latest > loaded && instance.State == catalog.StateReady {
+			return model, latest, true
 		}
 	}
 	return "", 0, false
