--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -51,14 +51,14 @@
 		if now > state.reportedAt+engineReportTTL || !fenced {
 			continue
 		}
-		wanted := r.desired(zoneService{report.Zone, report.Service})
+		target := r.desired(zoneService{report.Zone, report.Service})
 		ordered := state.orderedWeights != "" && now < state.orderedAt+orderTimeout
-		if report.Weights == wanted.weights || report.Loading || ordered || loading[report.Service] >= wanted.maxLoads {
+		if report.Weights == target.weights || report.Loading || ordered || loading[report.Service] >= target.maxLoads {
 			continue
 		}
 		loading[report.Service]++
-		state.orderedWeights, state.orderedAt = wanted.weights, now
-		r.propose(now, 0, Command{Order: &Order{Engine: name, Incarnation: report.Incarnation, Weights: wanted.weights}})
+		state.orderedWeights, state.orderedAt = target.weights, now
+		r.propose(now, 0, Command{Order: &Order{Engine: name, Incarnation: report.Incarnation, Weights: target.weights}})
 	}
 }
 
