--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -53,8 +53,8 @@
 	}
 	for _, name := range sortedKeys(r.leader.engines) {
 		report := r.leader.engines[name].report
-		wanted := r.desired(zoneService{report.Zone, report.Service}).weights
-		status.Engines = append(status.Engines, EngineStatus{EngineReport: report, Wanted: wanted})
+		target := r.desired(zoneService{report.Zone, report.Service}).weights
+		status.Engines = append(status.Engines, EngineStatus{EngineReport: report, Wanted: target})
 	}
 	status.Limits = r.leader.lending.allocator.States(now)
 	status.AdvertisedLimits = r.leader.lending.allocator.AdvertisedStates(now, maxAdvertisedInStatus)
