--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -91,12 +91,12 @@
 	cursor := cacheCursor{listedAt: -cacheListInterval, aliveAt: -cacheAliveInterval}
 	for ctx.Err() == nil {
 		interval := max(cacheReadInterval, time.Duration(g.followers.count())*minCacheReadSpacing)
-		asked, err := g.readCache(ctx, id, &cursor)
+		queried, err := g.readCache(ctx, id, &cursor)
 		switch {
 		case err != nil:
 			interval = min(minCacheRetryInterval<<min(cursor.failures, 10), maxCacheRetryInterval)
 			g.recordCacheError(id, &cursor, err)
-		case asked:
+		case queried:
 			cursor.failures = 0
 		}
 		select {
