--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -140,7 +140,7 @@
 }
 
 // listCache lists an engine's cache, unless it did so less than cacheListInterval ago.
-func (g *Gateway) listCache(ctx context.Context, id, address string, cursor *cacheCursor) (asked bool, err error) {
+func (g *Gateway) listCache(ctx context.Context, id, address string, cursor *cacheCursor) (queried bool, err error) {
 	if g.now() < cursor.listedAt+cacheListInterval {
 		return false, nil
 	}
