--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -50,15 +50,15 @@
 func (h *bufferBudget) readBody(from io.Reader, length int64) (body []byte, reserved int, err error) {
 	for {
 		if len(body) == cap(body) {
-			newRoom := max(bufferStep, 2*cap(body))
+			newCapacity := max(bufferStep, 2*cap(body))
 			if length >= 0 {
-				newRoom = min(newRoom, int(length)+1) // one byte more, so that EOF is read
+				newCapacity = min(newCapacity, int(length)+1) // one byte more, so that EOF is read
 			}
-			if !h.reserve(newRoom - reserved) {
+			if !h.reserve(newCapacity - reserved) {
 				return body, reserved, errBufferLimit
 			}
-			reserved = newRoom
-			body = append(make([]byte, 0, newRoom), body...)
+			reserved = newCapacity
+			body = append(make([]byte, 0, newCapacity), body...)
 		}
 		n, err := from.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
