--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -53,11 +53,11 @@
 		clear(n.models)
 	}
 	var regressions []AgeRegression
-	for _, w := range publications {
-		reported := sentAt - w.Age
-		known := n.find(w.Model, w.Version)
+	for _, p := range publications {
+		reported := sentAt - p.Age
+		known := n.find(p.Model, p.Version)
 		if known == nil {
-			n.add(w.Model, publication{version: w.Version, term: term, at: reported, before: math.MaxInt64})
+			n.add(p.Model, publication{version: p.Version, term: term, at: reported, before: math.MaxInt64})
 			continue
 		}
 		if known.term == term {
@@ -67,7 +67,7 @@
 		known.before, known.at, known.term = known.publishedAt(), reported, term
 		if !known.regressionReported && reported > known.before+ageTolerance {
 			known.regressionReported = true
-			regressions = append(regressions, AgeRegression{Model: w.Model, Version: w.Version, Known: now - known.before, Reported: now - reported})
+			regressions = append(regressions, AgeRegression{Model: p.Model, Version: p.Version, Known: now - known.before, Reported: now - reported})
 		}
 	}
 	return regressions
