--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -59,8 +59,8 @@
 	return instances
 }
 
-// TestNewLeaderDelaysOnlyEnginesAlreadyOrdered checks that a new leader waits before it orders an engine that the previous
-// leader ordered, and orders others as soon as the gateways follow it.
+// TestNewLeaderDelaysOnlyEnginesAlreadyOrdered checks that a new leader waits before it orders an engine that the
+// previous leader ordered, and orders others as soon as the gateways follow it.
 func TestNewLeaderDelaysOnlyEnginesAlreadyOrdered(t *testing.T) {
 	s, ordered, unordered := replaceLeaderAfterOrder(t)
 	if early := s.ordersDuring("g1", 2*time.Second); !slices.Contains(early, unordered) || slices.Contains(early, ordered) {
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// TestLoadedWeightsRequireRegistration guards against weights recorded for instances that are not or no longer registered.
+// TestLoadedWeightsRequireRegistration guards against weights recorded for instances that are not or no longer
+// registered.
 func TestLoadedWeightsRequireRegistration(t *testing.T) {
 	machine := catalog.NewMachine()
 	held := catalog.Command{Loaded: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 3}}}}
--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -46,8 +46,8 @@
 	return &PublishTimes{guards: guards, models: map[string][]publication{}}
 }
 
-// Update applies an answer of control to a request sent at the time asked, and returns each version's first age
-// regression. term is that of the leader that confirmed the answer.
+// Update applies a reply of control to a request sent at sentAt, and returns each version's first age
+// regression. term is that of the leader that confirmed the reply.
 func (n *PublishTimes) Update(now, sentAt time.Duration, term uint64, publications []roster.Publication) []AgeRegression {
 	if !n.guards.On(guard.PublicationAgeMonotonic) {
 		clear(n.models)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -21,7 +21,7 @@
 	event    []byte
 	id       string
 	buffered *bufferBudget
-	reserved int // buffer bytes reserved for an event larger than heldStep
+	reserved int // buffer bytes reserved for an event larger than bufferStep
 }
 
 // close releases the event buffer and its reservation.
@@ -30,7 +30,7 @@
 	e.event, e.reserved = nil, 0
 }
 
-// reserve reserves buffer bytes for an event larger than heldStep, and reports whether the limit permits it.
+// reserve reserves buffer bytes for an event larger than bufferStep, and reports whether the limit permits it.
 func (e *eventReader) reserve() bool {
 	size := cap(e.event)
 	if size <= max(bufferStep, e.reserved) {
