--- a/cmd/kitelab/standins.go
+++ b/cmd/kitelab/standins.go
@@ -93,7 +93,7 @@
 		return flags.serve("backend", func(d *plan.Deployment, log *zap.Logger) (runner, error) {
 			return standin.NewService(standin.ServiceConfig{
 				Name: flags.name, Zone: flags.zone, Service: d.Small.Name, Listen: flags.listen,
-				ServiceTime: d.Small.Time, DropAfterRatio: dropAfter, DropBeforeRatio: dropBefore,
+				ServiceTime: d.Small.ServiceTime, DropAfterRatio: dropAfter, DropBeforeRatio: dropBefore,
 			}, log), nil
 		})
 	}}
@@ -117,7 +117,7 @@
 	return command{sub, func() error {
 		return flags.serve("weights", func(d *plan.Deployment, log *zap.Logger) (runner, error) {
 			return standin.NewWeightStore(standin.WeightStoreConfig{
-				Listen: flags.listen, LoadTime: d.Weights.LoadTime, FullSpeedLimit: d.Weights.Concurrent,
+				Listen: flags.listen, LoadTime: d.Weights.LoadTime, FullSpeedLimit: d.Weights.MaxConcurrent,
 			}, log), nil
 		})
 	}}
