--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -168,10 +168,10 @@
 // HandleBackendHeartbeat handles a heartbeat of a back end. After an error, the heartbeat may or may not have taken
 // effect.
 func (s *Server) HandleBackendHeartbeat(ctx context.Context, heartbeat BackendHeartbeat) error {
-	if s.beats.enqueueWithoutReply(s.now(), heartbeat) {
+	if s.heartbeats.enqueueWithoutReply(s.now(), heartbeat) {
 		return nil
 	}
-	done := s.beats.enqueueForReply(heartbeat)
+	done := s.heartbeats.enqueueForReply(heartbeat)
 	if done == nil {
 		return errTooManyHeartbeats
 	}
@@ -193,7 +193,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-s.beats.wake:
+		case <-s.heartbeats.wake:
 			time.Sleep(heartbeatBatchDelay)
 		}
 		if !formed {
@@ -202,17 +202,17 @@
 		if !formed {
 			continue
 		}
-		batch := s.beats.takeBatch()
+		batch := s.heartbeats.takeBatch()
 		if batch.empty() {
 			continue
 		}
 		attempt, cancel := context.WithTimeout(ctx, batchTimeout)
-		response, err := s.group.Ask(attempt, Request{Beats: batch.heartbeats, Signs: batch.keepalives})
+		response, err := s.group.Ask(attempt, Request{BackendHeartbeats: batch.heartbeats, Keepalives: batch.keepalives})
 		cancel()
-		s.beats.recordBatch(s.now(), batch, err == nil, response.UnknownBackends)
+		s.heartbeats.recordBatch(s.now(), batch, err == nil, response.UnknownBackends)
 		for _, p := range batch.pending {
 			if err == nil {
-				s.beats.recordAck(s.now(), p.heartbeat)
+				s.heartbeats.recordAck(s.now(), p.heartbeat)
 			}
 			p.done <- err
 		}
@@ -228,7 +228,7 @@
 
 // queueRegistration adds a registration to the next batch. Client 0 gets no answer.
 func (r *Replica) queueRegistration(client uint64, instance catalog.Instance) {
-	batch := &r.leader.joining
+	batch := &r.leader.pendingRegistrations
 	batch.instances = append(batch.instances, instance)
 	batch.addClient(client)
 }
@@ -243,11 +243,11 @@
 // proposeRegistrations proposes the queued registrations. It must run before any other proposal, so that the log holds
 // the changes of a back end in order of arrival.
 func (r *Replica) proposeRegistrations(now time.Duration) {
-	if r.leader == nil || len(r.leader.joining.instances) == 0 {
+	if r.leader == nil || len(r.leader.pendingRegistrations.instances) == 0 {
 		return
 	}
-	batch := r.leader.joining
-	r.leader.joining = registrationBatch{}
+	batch := r.leader.pendingRegistrations
+	r.leader.pendingRegistrations = registrationBatch{}
 	r.appendCommand(now, batch.clients, Command{Catalog: &catalog.Command{RegisterBatch: batch.instances}})
 }
 
@@ -266,9 +266,9 @@
 	}
 	last := r.node.LastIndex()
 	switch {
-	case len(r.leader.joining.instances) > 0:
+	case len(r.leader.pendingRegistrations.instances) > 0:
 		r.leader.recordUnknownBackends(client, unknownBackends)
-		r.leader.joining.addClient(client)
+		r.leader.pendingRegistrations.addClient(client)
 	case last > before:
 		r.leader.recordUnknownBackends(client, unknownBackends)
 		r.pending[last] = pendingProposal{clients: []uint64{client}, term: r.node.Term()}
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -54,8 +54,8 @@
 // but do not undo a drain.
 func TestBatchedHeartbeatsHaveTheEffectOfSingleOnes(t *testing.T) {
 	s := openWithEngines(t)
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
-	s.ask(Request{Beats: []BackendHeartbeat{heartbeatOf("i-1", catalog.StateReady, 10), heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-3", catalog.StateReady, 1)}})
+	s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
+	s.ask(Request{BackendHeartbeats: []BackendHeartbeat{heartbeatOf("i-1", catalog.StateReady, 10), heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-3", catalog.StateReady, 1)}})
 	s.advance(100 * time.Millisecond)
 	instances := s.replica.Machine().Catalog().Instances()
 	if instances["i-1"].State != catalog.StateDraining || instances["i-3"].State != catalog.StateReady {
@@ -71,7 +71,7 @@
 func TestBatchIsAnsweredOnceCommitted(t *testing.T) {
 	s := openWithEngines(t)
 	const client = 5000
-	s.replica.Handle(s.now, client, Request{Beats: []BackendHeartbeat{
+	s.replica.Handle(s.now, client, Request{BackendHeartbeats: []BackendHeartbeat{
 		heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-7", catalog.StateReady, 1), heartbeatOf("i-2", catalog.StateDraining, uint64(s.now)+1),
 		heartbeatOf("i-8", catalog.StateReady, 1),
 	}})
@@ -145,7 +145,7 @@
 	keepaliveOf := func(id string) Keepalive { return Keepalive{ID: id, Sequence: uint64(s.now)} }
 	s.replica.leader.fleet["i-2"].fullHeartbeatSeen = false
 	s.advance(time.Second)
-	if response := s.ask(Request{Signs: []Keepalive{keepaliveOf("i-1"), keepaliveOf("i-2"), keepaliveOf("i-3")}}); len(response.UnknownBackends) != 2 {
+	if response := s.ask(Request{Keepalives: []Keepalive{keepaliveOf("i-1"), keepaliveOf("i-2"), keepaliveOf("i-3")}}); len(response.UnknownBackends) != 2 {
 		t.Fatalf("response %+v, want 2 unknown back ends", response)
 	}
 	if heardAt := s.replica.leader.fleet["i-1"].heardAt; heardAt != s.now {
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -13,7 +13,7 @@
 func openFleetWithQuota(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	s.setQuota(2, 100)
 	return s
 }
@@ -27,11 +27,11 @@
 func (s *singleReplica) requestShare(gateway string, amount float64) float64 {
 	s.t.Helper()
 	request := allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{{Name: quota.Tenant("north"), Amount: amount}}}
-	response := s.ask(Request{Borrow: &request})
-	if response.Lent == nil {
+	response := s.ask(Request{AllowanceRequest: &request})
+	if response.AllowanceReply == nil {
 		s.t.Fatalf("%+v", response)
 	}
-	return response.Lent.Grants[0].Amount
+	return response.AllowanceReply.Grants[0].Amount
 }
 
 // TestGrantsStayWithinLimit also checks that a new leader starts with nothing to grant, so that it does not grant again
@@ -50,7 +50,7 @@
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
-	next.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	next.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if lent := next.requestShare("g3", 45); lent != 0 {
 		t.Fatalf("a new leader granted %v at once, want 0", lent)
@@ -108,7 +108,7 @@
 	}
 }
 
-// TestNewLeaderReportsAllGateways guards against a new leader that counts only the gateways it has heard from: the
+// TestNewLeaderReportsAllGateways guards against a new leader that counts only the gateways that have contacted it: the
 // first ones would then use too large a fallback share.
 func TestNewLeaderReportsAllGateways(t *testing.T) {
 	s := openFleetWithQuota(t)
@@ -121,7 +121,7 @@
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
-	next.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	next.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if gateways := next.watchNow("g1", RosterVersion{}).Gateways; gateways != 4 {
 		t.Fatalf("the next leader reports %d gateways to the first one, want 4", gateways)
@@ -133,11 +133,11 @@
 func (s *singleReplica) requestAdvertisedShare(gateway string, rate float64, age time.Duration) float64 {
 	s.t.Helper()
 	item := allowance.RequestItem{Name: quota.Backend("i-1"), Amount: 1, Advertised: &allowance.AdvertisedLimit{Rate: rate, Age: age}}
-	response := s.ask(Request{Borrow: &allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{item}}})
-	if response.Lent == nil || !response.Lent.Grants[0].Enforced {
+	response := s.ask(Request{AllowanceRequest: &allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{item}}})
+	if response.AllowanceReply == nil || !response.AllowanceReply.Grants[0].Enforced {
 		s.t.Fatalf("%+v", response)
 	}
-	return response.Lent.Grants[0].Amount
+	return response.AllowanceReply.Grants[0].Amount
 }
 
 // TestGrantsStayWithinAdvertisedLimit checks that the gateways together get no more than a back end advertises, from
@@ -161,12 +161,12 @@
 	if lent := grantedWithin(s, 4*time.Second); lent < 12 || lent > 17 {
 		t.Fatalf("granted %v in 4 s after a document change, want 12 to 17", lent)
 	}
-	if advertised := s.ask(Request{Status: &StatusRequest{}}).Status.Named; len(advertised) != 1 || advertised[0].Limit.Rate != 4 || advertised[0].Refused == 0 {
+	if advertised := s.ask(Request{Status: &StatusRequest{}}).Status.AdvertisedLimits; len(advertised) != 1 || advertised[0].Limit.Rate != 4 || advertised[0].Refused == 0 {
 		t.Fatalf("advertised limits in the status: %+v", advertised)
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
-	next.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	next.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if lent := grantedWithin(next, 200*time.Millisecond); lent != 0 {
 		t.Fatalf("a new leader granted %v at once, want 0", lent)
@@ -176,7 +176,7 @@
 	}
 	next.advance(20 * time.Second)
 	next.requestShare("g1", 1)
-	if advertised := next.ask(Request{Status: &StatusRequest{}}).Status.Named; len(advertised) != 0 {
+	if advertised := next.ask(Request{Status: &StatusRequest{}}).Status.AdvertisedLimits; len(advertised) != 0 {
 		t.Fatalf("status shows an advertised limit that is no longer used: %+v", advertised)
 	}
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -26,8 +26,8 @@
 	SettingsLease     time.Duration // duration of the settings lease of a router
 	RepairAfter       time.Duration // how long a voter may be unreachable before a learner replaces it
 	SnapshotEvery     uint64        // minimum number of applied entries between snapshots
-	OrderWait         time.Duration // how long a new leader waits before its first weights order
-	GatewayTrust      time.Duration // how long a gateway may use a view without a new confirmation
+	WeightsOrderDelay time.Duration // how long a new leader waits before its first weights order
+	GatewayViewTTL    time.Duration // how long a gateway may use a view without a new confirmation
 	Quota             quota.Policy  // terms of the fleet-wide limits
 	Guards            guard.Set
 	Mechanisms        mechanism.Set // enabled mechanisms
@@ -103,12 +103,12 @@
 	ready          consensus.Ready
 	effects        Effects
 	leader         *leaderState
-	namedVersions  map[string][]publishedVersion // by model, in ascending order of version, with local times
+	publications   map[string][]publishedVersion // by model, in ascending order of version, with local times
 	orderMarks     map[string]orderMark          // newest order seen in the log, by back-end name
 	published      publishedDocument             // newest document sent to gateways
 	relay          *relay.Relay                  // answers gateways while another replica leads
 	awaitingLeader []heldWatch                   // watches held until a leader is known; at most maxAwaitingLeader
-	quarantined    crashTimes                    // local times of the replicated crash counts
+	crashTimes     crashTimes                    // local times of the replicated crash counts
 	checkpointDue  bool                          // the next Prepare must write a checkpoint
 	stopErr        error                         // why the replica has stopped, or nil
 }
@@ -118,8 +118,8 @@
 func NewReplica(config Config, restored Checkpoint, now time.Duration) (*Replica, error) {
 	replica := &Replica{
 		config: config, machine: NewMachine(config.Guards), snapshot: restored.Snapshot,
-		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, namedVersions: map[string][]publishedVersion{}, orderMarks: map[string]orderMark{},
-		quarantined: newCrashTimes(), relay: relay.New(config.Guards),
+		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, publications: map[string][]publishedVersion{}, orderMarks: map[string]orderMark{},
+		crashTimes: newCrashTimes(), relay: relay.New(config.Guards),
 	}
 	if len(restored.Snapshot.Data) > 0 {
 		if err := replica.machine.Restore(restored.Snapshot.Data); err != nil {
@@ -155,7 +155,7 @@
 // Applied returns the index of the last applied entry.
 func (r *Replica) Applied() uint64 { return r.applied }
 
-// Tick runs the timers. unixMS is the wall clock, used only for retention, history and the age of named versions.
+// Tick runs the timers. unixMS is the wall clock, used only for retention, history and the age of published weights.
 func (r *Replica) Tick(now time.Duration, unixMS int64) {
 	if r.stopErr != nil {
 		return
@@ -207,7 +207,7 @@
 		previous := r.leader
 		r.leader = nil
 		r.closeWatches(previous)
-		r.replyAll(previous.joining.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
+		r.replyAll(previous.pendingRegistrations.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 		r.failPending()
 	}
 	if r.leader == nil && isLeader {
@@ -313,7 +313,7 @@
 // dropStaleCalls drops calls decided before a sync that took so long that this replica may have lost the leadership,
 // and orders that would follow their announcement too late. The rollout makes them again.
 func (r *Replica) dropStaleCalls(now time.Duration, calls []WeightsCall) []WeightsCall {
-	if len(calls) == 0 || !r.config.Guards.On(guard.DropLateCommands) {
+	if len(calls) == 0 || !r.config.Guards.On(guard.DropLateOrders) {
 		return calls
 	}
 	if r.leader == nil || !r.mayOrder(now) {
@@ -341,7 +341,7 @@
 	if entry.Kind == consensus.EntryCommand {
 		command := decodeCommand(entry.Data)
 		if command.Catalog != nil {
-			r.recordOrderAnnouncement(now, entry.Term, command.Catalog.WeightsCommandTargets)
+			r.recordOrderAnnouncement(now, entry.Term, command.Catalog.WeightsOrderTargets)
 			command.Catalog.UnixMS = command.UnixMS
 			result.Catalog = r.applyCatalog(now, *command.Catalog)
 		} else {
@@ -398,7 +398,7 @@
 	if r.stopErr != nil {
 		return false
 	}
-	return r.checkpointDue || r.leader != nil && len(r.leader.joining.instances)+len(r.leader.pendingOrderAnnouncements) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
+	return r.checkpointDue || r.leader != nil && len(r.leader.pendingRegistrations.instances)+len(r.leader.pendingOrderAnnouncements) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
 }
 
 // members returns the membership sorted by name.
--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -46,18 +46,18 @@
 	return &PublishTimes{guards: guards, models: map[string][]publication{}}
 }
 
-// Update applies an answer of control to a request sent at the time asked, and returns each version's first age
-// regression. term is that of the leader that confirmed the answer.
-func (n *PublishTimes) Update(now, asked time.Duration, term uint64, wanted []roster.Publication) []AgeRegression {
+// Update applies a reply of control to a request sent at sentAt, and returns each version's first age
+// regression. term is that of the leader that confirmed the reply.
+func (n *PublishTimes) Update(now, sentAt time.Duration, term uint64, publications []roster.Publication) []AgeRegression {
 	if !n.guards.On(guard.PublicationAgeMonotonic) {
 		clear(n.models)
 	}
 	var regressions []AgeRegression
-	for _, w := range wanted {
-		reported := asked - w.Age
-		known := n.find(w.Model, w.Version)
+	for _, p := range publications {
+		reported := sentAt - p.Age
+		known := n.find(p.Model, p.Version)
 		if known == nil {
-			n.add(w.Model, publication{version: w.Version, term: term, at: reported, before: math.MaxInt64})
+			n.add(p.Model, publication{version: p.Version, term: term, at: reported, before: math.MaxInt64})
 			continue
 		}
 		if known.term == term {
@@ -67,7 +67,7 @@
 		known.before, known.at, known.term = known.publishedAt(), reported, term
 		if !known.regressionReported && reported > known.before+ageTolerance {
 			known.regressionReported = true
-			regressions = append(regressions, AgeRegression{Model: w.Model, Version: w.Version, Known: now - known.before, Reported: now - reported})
+			regressions = append(regressions, AgeRegression{Model: p.Model, Version: p.Version, Known: now - known.before, Reported: now - reported})
 		}
 	}
 	return regressions
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -99,10 +99,10 @@
 
 // applyWatchReply applies the part of a watch reply that every reply carries, and returns the versions whose age
 // regressed.
-func (t *table) applyWatchReply(now, asked time.Duration, reply *control.WatchReply) []belief.AgeRegression {
+func (t *table) applyWatchReply(now, sentAt time.Duration, reply *control.WatchReply) []belief.AgeRegression {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.published.Update(now, asked, reply.Version.Term, reply.Publications)
+	return t.published.Update(now, sentAt, reply.Version.Term, reply.Publications)
 }
 
 // setAssigned sets the back ends whose cache events this gateway reads.
@@ -193,14 +193,14 @@
 }
 
 // end records the end and outcome of an attempt, and returns this gateway's remaining load at its back end.
-func (t *table) end(now time.Duration, sent *attempt, grade attemptOutcome) belief.Load {
+func (t *table) end(now time.Duration, sent *attempt, outcome attemptOutcome) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.endWait(sent)
 	own := &sent.row.occupancy.Own
 	*own = own.Minus(sent.load())
-	sent.row.recordOutcome(now, grade)
-	if grade == outcomeSuccess {
+	sent.row.recordOutcome(now, outcome)
+	if outcome == outcomeSuccess {
 		t.recordDuration(sent.row, now-sent.startedAt)
 	}
 	return sent.row.occupancy.Local()
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -78,14 +78,14 @@
 	if !g.group.AnsweredWithin(controlContactWindow) {
 		ask = g.group.AskAny
 	}
-	response, err := ask(ctx, control.Request{Borrow: &request})
+	response, err := ask(ctx, control.Request{AllowanceRequest: &request})
 	if err != nil {
 		return allowance.Reply{}, err
 	}
-	if response.Kind != control.ResponseOK || response.Lent == nil {
+	if response.Kind != control.ResponseOK || response.AllowanceReply == nil {
 		return allowance.Reply{}, eris.Errorf("unexpected response from control: %s", response.Kind)
 	}
-	return *response.Lent, nil
+	return *response.AllowanceReply, nil
 }
 
 // acquireRetry acquires one retry of a request to a service, from this gateway's budget or else by a lease from the
--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -45,13 +45,13 @@
 // other gateways.
 func TestUnreachableIsReportedOnce(t *testing.T) {
 	tb, e := newTable(mechanism.Set{}), &endpoint{}
-	if news := tb.recordUnreachable(time.Second, e); !news {
+	if newlyAvoided := tb.recordUnreachable(time.Second, e); !newlyAvoided {
 		t.Fatal("the first failure is not reported")
 	}
-	if news := tb.recordUnreachable(time.Second+unreachableAvoidance/2, e); news {
+	if newlyAvoided := tb.recordUnreachable(time.Second+unreachableAvoidance/2, e); newlyAvoided {
 		t.Fatal("a failure of an avoided back end is reported")
 	}
-	if news := tb.recordUnreachable(time.Minute, e); !news {
+	if newlyAvoided := tb.recordUnreachable(time.Minute, e); !newlyAvoided {
 		t.Fatal("a failure after the avoidance is not reported")
 	}
 }
--- a/internal/lab/account/print.go
+++ b/internal/lab/account/print.go
@@ -16,13 +16,13 @@
 const (
 	plotWidth        = 22 * vg.Centimeter
 	plotHeight       = 11 * vg.Centimeter
-	maxExampleLength = 160 // of an example in a table
+	maxExampleLength = 160 // characters of an example log line
 )
 
-// outcomes in the order of tables and plots.
+// outcomes lists the outcomes in the order of table columns and plot lines.
 var outcomes = []Outcome{Rejected, Failed, Late, AttemptFailed}
 
-// Print writes the tables of a set of days.
+// Print writes the mean losses of the days as Markdown tables, with events grouped by intervals of the given length.
 func Print(w io.Writer, days []Day, length time.Duration) {
 	if causes := ByCause(days); len(causes) > 0 {
 		fmt.Fprintf(w, "| worth lost to | a day | share |\n|---|---|---|\n")
@@ -47,16 +47,16 @@
 		return
 	}
 	fmt.Fprintf(w, "\n| from second | refused | failed | late | attempts failed |\n|---|---|---|---|---|\n")
-	for _, m := range intervals {
-		fmt.Fprintf(w, "| %g |", m.Start.Seconds())
+	for _, interval := range intervals {
+		fmt.Fprintf(w, "| %g |", interval.Start.Seconds())
 		for _, o := range outcomes {
-			fmt.Fprintf(w, " %.1f |", m.Counts[o])
+			fmt.Fprintf(w, " %.1f |", interval.Counts[o])
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-// printRecomputes writes the tables of shared parts that were read again.
+// printRecomputes writes the tables of recomputed shared prompt tokens.
 func printRecomputes(w io.Writer, days []Day, length time.Duration) {
 	causes := RecomputedTokensBy(days, func(r Recompute) string { return r.Cause })
 	reported, explained := 0.0, 0.0
@@ -92,20 +92,20 @@
 	}
 }
 
-// PrintComparisons writes what changed from one state of the code to another, day by day.
+// PrintComparisons writes a table of the worth of each day before and after a change.
 func PrintComparisons(w io.Writer, comparisons []DayComparison) {
 	fmt.Fprintf(w, "\n| day | before | after | difference |\n|---|---|---|---|\n")
 	sum := 0.0
-	for _, p := range comparisons {
-		sum += p.After - p.Before
-		fmt.Fprintf(w, "| %s | %.4f | %.4f | %+.4f |\n", p.Name, p.Before, p.After, p.After-p.Before)
+	for _, c := range comparisons {
+		sum += c.After - c.Before
+		fmt.Fprintf(w, "| %s | %.4f | %.4f | %+.4f |\n", c.Name, c.Before, c.After, c.After-c.Before)
 	}
 	if len(comparisons) > 0 {
 		fmt.Fprintf(w, "| mean of %d | | | %+.4f |\n", len(comparisons), sum/float64(len(comparisons)))
 	}
 }
 
-// Plot draws the lost requests over the day to a file, whose ending names the format.
+// Plot draws the events of each outcome over the day. The extension of the file selects the format.
 func Plot(file string, days []Day, length time.Duration) error {
 	p := plot.New()
 	p.Title.Text = "requests lost, a day"
@@ -114,8 +114,8 @@
 	intervals := ByInterval(days, length)
 	for i, o := range outcomes {
 		var points plotter.XYs
-		for _, m := range intervals {
-			points = append(points, plotter.XY{X: m.Start.Seconds(), Y: m.Counts[o]})
+		for _, interval := range intervals {
+			points = append(points, plotter.XY{X: interval.Start.Seconds(), Y: interval.Counts[o]})
 		}
 		if len(points) == 0 {
 			continue
