--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -91,12 +91,12 @@
 	cursor := cacheCursor{listedAt: -cacheListInterval, aliveAt: -cacheAliveInterval}
 	for ctx.Err() == nil {
 		interval := max(cacheReadInterval, time.Duration(g.followers.count())*minCacheReadSpacing)
-		asked, err := g.readCache(ctx, id, &cursor)
+		queried, err := g.readCache(ctx, id, &cursor)
 		switch {
 		case err != nil:
 			interval = min(minCacheRetryInterval<<min(cursor.failures, 10), maxCacheRetryInterval)
 			g.recordCacheError(id, &cursor, err)
-		case asked:
+		case queried:
 			cursor.failures = 0
 		}
 		select {
@@ -140,7 +140,7 @@
 }
 
 // listCache lists an engine's cache, unless it did so less than cacheListInterval ago.
-func (g *Gateway) listCache(ctx context.Context, id, address string, cursor *cacheCursor) (asked bool, err error) {
+func (g *Gateway) listCache(ctx context.Context, id, address string, cursor *cacheCursor) (queried bool, err error) {
 	if g.now() < cursor.listedAt+cacheListInterval {
 		return false, nil
 	}
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -158,11 +158,11 @@
 	asked := g.clock()
 	request := g.leases.NewRequest(asked, demands)
 	g.requestingLease = true
-	g.leaseAsker.once(control.Request{Borrow: &request}, leaseTimeout, func(response control.Response, answered bool) {
+	g.leaseAsker.once(control.Request{AllowanceRequest: &request}, leaseTimeout, func(response control.Response, answered bool) {
 		g.requestingLease = false
 		var lease allowance.Lease
-		if answered && response.Lent != nil {
-			lease = g.leases.ApplyReply(g.clock(), asked, demands, *response.Lent)[0].Lease
+		if answered && response.AllowanceReply != nil {
+			lease = g.leases.ApplyReply(g.clock(), asked, demands, *response.AllowanceReply)[0].Lease
 		} else {
 			lease, _ = g.leases.TakeFallback(g.clock(), demands[0].Name, 1)
 		}
