--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -111,8 +111,8 @@
 	})
 }
 
-// handoverPauseOver reports whether every other leader's order to a back end was sent at least Config.WeightsOrderDelay ago. An
-// order may be sent up to maxOrderAge after its announcement.
+// handoverPauseOver reports whether every other leader's order to a back end was sent at least
+// Config.WeightsOrderDelay ago. An order may be sent up to maxOrderAge after its announcement.
 func (r *Replica) handoverPauseOver(now time.Duration, id string) bool {
 	at, ordered := r.lastForeignOrder(id)
 	return !ordered || now >= at+maxOrderAge+r.config.WeightsOrderDelay || !r.config.Guards.On(guard.WeightsOrderDelay)
@@ -169,7 +169,7 @@
 	slices.Sort(added)
 	if now >= r.leader.startedAt+r.viewExpiry() { // until then they may still use a view of the previous leader
 		for _, name := range r.machine.catalog.Gateways() {
-			if report, asked := r.leader.usage[name]; !asked || now-report.receivedAt > r.viewExpiry() {
+			if report, reported := r.leader.usage[name]; !reported || now-report.receivedAt > r.viewExpiry() {
 				removed = append(removed, name)
 			}
 		}
@@ -189,6 +189,6 @@
 		return true
 	}
 	known := r.machine.catalog.Gateways()
-	missing := slices.ContainsFunc(known, func(name string) bool { _, asked := r.leader.usage[name]; return !asked })
+	missing := slices.ContainsFunc(known, func(name string) bool { _, reported := r.leader.usage[name]; return !reported })
 	return len(known) > 0 && !missing
 }
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -30,8 +30,8 @@
 	Watch             *Watch             `json:"watch,omitempty"`
 	Document          *DocumentRequest   `json:"document,omitempty"`
 
-	Relay  *relay.Request     `json:"relay,omitempty"`  // from a follower that answers gateways
-	Borrow *allowance.Request `json:"borrow,omitempty"` // from a gateway: requests shares of fleet-wide limits
+	Relay            *relay.Request     `json:"relay,omitempty"`  // from a follower that answers gateways
+	AllowanceRequest *allowance.Request `json:"borrow,omitempty"` // from a gateway: requests shares of fleet-wide limits
 }
 
 // DocumentRequest asks for the routing document in force.
@@ -163,7 +163,7 @@
 	Catalog         *catalog.Outcome  `json:"catalog,omitempty"`
 	Watch           *WatchReply       `json:"watch,omitempty"`
 	Document        *catalog.Document `json:"document,omitempty"`
-	Lent            *allowance.Reply  `json:"lent,omitempty"`
+	AllowanceReply  *allowance.Reply  `json:"lent,omitempty"`
 	Relayed         *relay.Reply      `json:"relayed,omitempty"`
 	UnknownBackends []string          `json:"strangers,omitempty"` // back ends whose next heartbeat must be a full one
 }
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -59,8 +59,8 @@
 
 func (n *controlNode) unixMS() int64 { return wallStart + (n.w.now() + n.wallSkew).Milliseconds() }
 
-// newFolder makes the disk empty; the replica then has a new identity.
-func (n *controlNode) newFolder() {
+// newDataDir makes the disk empty; the replica then has a new identity.
+func (n *controlNode) newDataDir() {
 	n.folders++
 	n.disk = control.Checkpoint{}
 	n.identity = control.NewIdentity(n.name, fmt.Sprint(n.folders), n.w.guards)
@@ -86,12 +86,12 @@
 		Level: n.build,
 		ID:    n.identity.ID, Name: n.name, Address: n.name, Timing: controlTiming, Replicas: groupSize,
 		SettingsLease: settingsLease, RepairAfter: repairAfter, SnapshotEvery: snapshotEvery,
-		WeightsOrderDelay: fleetOrderWait, GatewayViewTTL: fleetTrust, Zone: n.zone, MaxDirectGateways: n.w.relayAbove(),
+		WeightsOrderDelay: fleetOrderDelay, GatewayViewTTL: fleetViewTTL, Zone: n.zone, MaxDirectGateways: n.w.maxDirectGateways(),
 		Guards: n.w.guards, Random: n.w.random.Int64N,
 	}
 	replica, err := control.NewReplica(config, cloneCheckpoint(n.disk), 0)
 	if errors.Is(err, level.ErrTooOld) {
-		n.replaceTooOld(err)
+		n.restartWithNewBuild(err)
 		return
 	}
 	if err != nil {
@@ -166,8 +166,8 @@
 // beginSync writes; the replica goes on when the write is synced.
 func (n *controlNode) beginSync(persist control.Persist) {
 	n.syncing = &persist
-	if n.w.mischief.stallsOrder && n.replica.PendingWeightsCalls() > 0 {
-		n.w.mischief.stallsOrder = false
+	if n.w.mischief.stallDiskOnOrder && n.replica.PendingWeightsCalls() > 0 {
+		n.w.mischief.stallDiskOnOrder = false
 		n.stallDisk(n.w.between(3*time.Second, 6*time.Second))
 	}
 	delay := max(n.w.between(500*time.Microsecond, 6*time.Millisecond), n.stallsTo-n.w.now())
@@ -269,7 +269,7 @@
 		delay = n.w.between(0, 5*time.Second)
 	}
 	if order.Order != nil {
-		delay = max(delay, n.w.mischief.orderLeaves(n))
+		delay = max(delay, n.w.mischief.delayOrder(n))
 	}
 	from := n.process
 	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.order(order) }) })
@@ -312,7 +312,7 @@
 // found makes the first replicas: one voter, which the others join, as the processes do.
 func (w *world) found() {
 	for _, n := range w.controls {
-		n.newFolder()
+		n.newDataDir()
 	}
 	first := w.controls[0]
 	first.disk = control.BootstrapState(first.member())
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -39,13 +39,13 @@
 // engineNode is a model engine. cached is the oracle's record of what each block of this life really holds.
 type engineNode struct {
 	*process
-	model   *engine.Model
-	lives   uint64
-	alarm   vtime.Alarm
-	cached  map[prefix.Hash]content
-	shed    shedding
-	need    need
-	ordered control.Fence // highest order it ever began to carry out, over all lives
+	model      *engine.Model
+	lives      uint64
+	alarm      vtime.Alarm
+	cached     map[prefix.Hash]content
+	shed       rejection
+	advertised limitPeriod
+	ordered    control.Fence // highest order it ever began to carry out, over all lives
 }
 
 // sending joins a job of the model to the attempt that waits for it.
@@ -73,12 +73,12 @@
 func (e *engineNode) boot() {
 	e.start()
 	e.lives++
-	e.cached, e.shed, e.need = map[prefix.Hash]content{}, shedding{}, need{}
+	e.cached, e.shed, e.advertised = map[prefix.Hash]content{}, rejection{}, limitPeriod{}
 	weights := "w1"
 	if e.model != nil {
 		weights = e.model.Weights // they stay on the machine
 	}
-	e.model = engine.New(e.name, e.lives, weights, simRates(), blockToken, e.w.random.Uint64(), e.w.guards)
+	e.model = engine.New(e.name, e.lives, weights, simRates(), tokensPerBlock, e.w.random.Uint64(), e.w.guards)
 	e.model.Import = e.importFrom
 	e.alarm = vtime.Alarm{}
 	e.w.logf("%s starts as incarnation %d with weights %s", e.name, e.lives, weights)
@@ -102,7 +102,7 @@
 // submit takes a job, or returns why not.
 func (e *engineNode) submit(action core.ActionDispatch, s *sending) engine.SubmitResult {
 	job := &engine.Job{
-		Attempt: action.Attempt, Origin: fmt.Sprintf("%s#%d", s.router.name, s.router.life), Tenant: s.request.job.tenant,
+		Attempt: action.Attempt, Origin: fmt.Sprintf("%s#%d", s.router.name, s.router.generation), Tenant: s.request.job.tenant,
 		Blocks: action.Blocks, PromptTokens: s.request.promptTokens(), MaxTokens: action.MaxTokens, ResumeFrom: action.ResumeFrom,
 		Lane: action.Lane, Incarnation: action.Incarnation, Weights: action.Weights, ExpectedCachedTokens: action.ExpectedCachedTokens,
 		ImportFrom: action.ImportFrom, ImportBlocks: action.ImportBlocks, UserData: s,
@@ -111,7 +111,7 @@
 	result := e.model.Submit(e.w.now(), job)
 	if result == engine.Accepted || result == engine.AcceptedWithoutReuse {
 		e.w.oracle.engineTook(e, job, s, result)
-		e.connect(s)
+		e.trackConnection(s)
 	}
 	e.advance()
 	return result
@@ -129,7 +129,7 @@
 	event := core.EventAttempt{Echo: s.attempt, Index: output.Index, Cached: output.Cached}
 	switch output.Kind {
 	case engine.OutputStarted:
-		event.Kind, event.Incarnation, event.AdvertisesLimit = core.AttemptStarted, e.model.Incarnation, e.need.limit(e.w.now()).Advertised
+		event.Kind, event.Incarnation, event.AdvertisesLimit = core.AttemptStarted, e.model.Incarnation, e.advertised.limit(e.w.now()).Advertised
 	case engine.OutputToken:
 		event.Kind, event.Text = core.AttemptChunk, s.request.job.token(output.Index)
 	case engine.OutputDone:
@@ -185,7 +185,7 @@
 // importFrom copies leading blocks from another engine and what the oracle knows of them.
 func (e *engineNode) importFrom(source string, chain []prefix.Hash) int {
 	other := e.w.engine(source)
-	if other == nil || !other.up || other.frozen || e.w.isCut(e.process, other.process) {
+	if other == nil || !other.up || other.frozen || e.w.isPartitioned(e.process, other.process) {
 		return 0
 	}
 	held := other.model.ExportablePrefix(e.w.now(), chain)
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	firstFault   = 6 * time.Second
-	lastFault    = 84 * time.Second
-	fewestFaults = 4
-	mostFaults   = 10
-	pairShare    = 0.35
-	pairWithin   = 2 * time.Second
+	firstFault       = 6 * time.Second
+	lastFault        = 84 * time.Second
+	minFaults        = 4
+	maxFaults        = 10
+	followUpRatio    = 0.35
+	followUpMaxDelay = 2 * time.Second
 )
 
 // fault is one kind of failure. It heals by itself.
@@ -17,17 +17,17 @@
 	run  func(*world)
 }
 
-// catalogue lists every fault, in the order of "What fails" and of the pairs that are hard.
-var catalogue = []fault{
+// faultKinds lists every fault, in the order of "What fails" and of the pairs that are hard.
+var faultKinds = []fault{
 	{"kill router", (*world).faultKillRouter},
 	{"freeze router", (*world).faultFreezeRouter},
 	{"planned stop of a router", (*world).faultStopRouter},
-	{"herd restart of routers", (*world).faultHerd},
+	{"herd restart of routers", (*world).faultRestartAllRouters},
 	{"kill control replica", (*world).faultKillControl},
 	{"freeze leader", (*world).faultFreezeLeader},
 	{"power loss of all control replicas", (*world).faultPowerLoss},
-	{"lost disk", (*world).faultWipe},
-	{"lost disk, and a second one right after the repair", (*world).faultWipeTwice},
+	{"lost disk", (*world).faultLoseDisk},
+	{"lost disk, and a second one right after the repair", (*world).faultLoseDiskTwice},
 	{"lagging replica, then lost disk and dead leader", (*world).faultLaggingElected},
 	{"cut zone", (*world).faultCutZone},
 	{"one-way cut", (*world).faultCutOneWay},
@@ -35,8 +35,8 @@
 	{"kill engine", (*world).faultKillEngine},
 	{"kill engines in a row", (*world).faultKillEngines},
 	{"freeze engine", (*world).faultFreezeEngine},
-	{"leaving engine", (*world).faultLeaveEngine},
-	{"leaving service", (*world).faultLeaveService},
+	{"leaving engine", (*world).faultDrainEngine},
+	{"leaving service", (*world).faultDrainService},
 	{"kill service", (*world).faultKillService},
 	{"misbehaving streams", (*world).faultStreams},
 	{"services that drop connections", (*world).faultServices},
@@ -46,35 +46,35 @@
 	{"order under way while its leader is frozen", (*world).faultSlowOrder},
 	{"change while a router is cut off, watched to the end of its lease", (*world).faultLeaseEnds},
 	{"wall clock jump", (*world).faultClockJump},
-	{"hot prefix shift", (*world).faultShift},
+	{"hot prefix shift", (*world).faultShiftHotPrefix},
 	{"control blackout with router restarts", (*world).faultBlackout},
 	{"router frozen in a claim, thawed into a cut", (*world).faultClaimFreeze},
 	{"routers frozen in claims, one after the other", (*world).faultClaimFreezes},
-	{"process of the gateway fleet killed or frozen", (*world).fleetFault},
-	{"process of the gateway fleet killed or frozen, again", (*world).fleetFault},
-	{"request that ends whoever runs it", (*world).faultDeadlyRequest},
+	{"process of the gateway fleet killed or frozen", (*world).faultFleetProcess},
+	{"process of the gateway fleet killed or frozen, again", (*world).faultFleetProcess},
+	{"request that ends whoever runs it", (*world).faultFatalRequest},
 	{"suspended control replica", (*world).faultSuspendControl},
 	{"suspended gateway or router", (*world).faultSuspendGateway},
 	{"stalled disk", (*world).faultStallDisk},
 	{"disk that stalls under an order for weights", (*world).faultStallOrder},
 	{"writes while a replica is cut off, the others killed after the heal", (*world).faultCutThenKill},
 	{"leader that didn't see weights named", (*world).faultLateLeader},
-	{"back ends that turn requests away and ask for rest", (*world).faultShed},
+	{"back ends that turn requests away and ask for rest", (*world).faultRejectRequests},
 }
 
 // planFaults draws the faults of a run.
 func (w *world) planFaults() {
-	for range fewestFaults + w.random.IntN(mostFaults-fewestFaults+1) {
+	for range minFaults + w.random.IntN(maxFaults-minFaults+1) {
 		at := w.between(firstFault, lastFault)
 		w.planFault(at)
-		if w.chance(pairShare) {
-			w.planFault(at + w.between(0, pairWithin))
+		if w.chance(followUpRatio) {
+			w.planFault(at + w.between(0, followUpMaxDelay))
 		}
 	}
 }
 
 func (w *world) planFault(at time.Duration) {
-	drawn := pick(w, catalogue)
+	drawn := pick(w, faultKinds)
 	w.after(at, func() {
 		w.faults++
 		w.logf("FAULT %s", drawn.name)
@@ -82,8 +82,8 @@
 	})
 }
 
-// controlTrouble notes that control may be unwell until a time.
-func (w *world) controlTrouble(length time.Duration) {
+// recordControlDisturbance notes that control may be unwell until a time.
+func (w *world) recordControlDisturbance(length time.Duration) {
 	w.oracle.controlFault = max(w.oracle.controlFault, w.now()+length)
 }
 
@@ -101,7 +101,7 @@
 func (w *world) freezeRouter(r *routerNode, length time.Duration) {
 	r.freeze()
 	r.stopping = false
-	w.after(length, r.thaw)
+	w.after(length, r.resume)
 }
 
 func (w *world) faultStopRouter() {
@@ -112,7 +112,7 @@
 	r.plannedStop(func() { w.restart(r, w.between(200*time.Millisecond, 2*time.Second)) })
 }
 
-func (w *world) faultHerd() {
+func (w *world) faultRestartAllRouters() {
 	for _, r := range w.routers {
 		r.kill(w.chance(0.3))
 		w.restart(r, w.between(100*time.Millisecond, 500*time.Millisecond))
@@ -120,7 +120,7 @@
 }
 
 func (w *world) restartControl(n *controlNode, after time.Duration) {
-	w.controlTrouble(after)
+	w.recordControlDisturbance(after)
 	w.restart(n, after)
 }
 
@@ -137,8 +137,8 @@
 	}
 	length := w.between(300*time.Millisecond, 12*time.Second)
 	n.freeze()
-	w.controlTrouble(length)
-	w.after(length, n.thaw)
+	w.recordControlDisturbance(length)
+	w.after(length, n.resume)
 }
 
 // faultSuspendControl suspends a replica's machine, mostly the leader's, some right when it acknowledged a change.
@@ -150,7 +150,7 @@
 	length := w.between(200*time.Millisecond, 8*time.Second)
 	suspend := func() {
 		n.suspend(length)
-		w.controlTrouble(length)
+		w.recordControlDisturbance(length)
 	}
 	if w.chance(0.4) {
 		w.onAccept = append(w.onAccept, suspend)
@@ -167,7 +167,7 @@
 		return
 	}
 	if w.chance(0.5) {
-		w.mischief.freezeClaim = func(r *routerNode) { w.suspendRouter(r, length) }
+		w.mischief.onNextClaim = func(r *routerNode) { w.suspendRouter(r, length) }
 		return
 	}
 	w.suspendRouter(pick(w, w.routers), length)
@@ -188,12 +188,14 @@
 	})
 }
 
-// mayWipe reports whether the membership is committed and every voter is up with its disk, so that losing one
+// toleratesDiskLoss reports whether the membership is committed and every voter is up with its disk, so that losing one
 // disk must lose nothing.
-func (w *world) mayWipe() bool { return len(w.network.cut) == 0 && w.votersWhole() }
+func (w *world) toleratesDiskLoss() bool {
+	return len(w.network.partitioned) == 0 && w.allVotersIntact()
+}
 
-// votersWhole reports whether there is a leader, and every voter is up with the disk that it voted from.
-func (w *world) votersWhole() bool {
+// allVotersIntact reports whether there is a leader, and every voter is up with the disk that it voted from.
+func (w *world) allVotersIntact() bool {
 	leader := w.leader()
 	if leader == nil || !leader.replica.Node().MembershipCommitted() {
 		return false
@@ -221,16 +223,16 @@
 	panic("sim: no control replica " + name)
 }
 
-// wipe loses a replica's disk; it comes back with an empty folder.
-func (w *world) wipe(n *controlNode) {
+// loseDisk loses a replica's disk; it comes back with an empty folder.
+func (w *world) loseDisk(n *controlNode) {
 	w.logf("%s loses its disk", n.name)
 	n.die(w.chance(0.5))
-	n.newFolder()
+	n.newDataDir()
 	w.restartControl(n, w.between(50*time.Millisecond, time.Second))
-	w.controlTrouble(2 * repairAfter)
+	w.recordControlDisturbance(2 * repairAfter)
 }
 
-func (w *world) voter() *controlNode {
+func (w *world) randomVoter() *controlNode {
 	members := w.leader().replica.Node().Membership().Members
 	for {
 		if member := pick(w, members); !member.Learner {
@@ -239,24 +241,24 @@
 	}
 }
 
-func (w *world) faultWipe() {
-	if w.mayWipe() {
-		w.wipe(w.voter())
+func (w *world) faultLoseDisk() {
+	if w.toleratesDiskLoss() {
+		w.loseDisk(w.randomVoter())
 	}
 }
 
-func (w *world) faultWipeTwice() {
-	if !w.mayWipe() {
+func (w *world) faultLoseDiskTwice() {
+	if !w.toleratesDiskLoss() {
 		return
 	}
-	w.wipe(w.voter())
+	w.loseDisk(w.randomVoter())
 	deadline := w.now() + 4*repairAfter
 	var second func()
 	second = func() {
 		switch {
 		case w.now() > min(deadline, activeTime):
-		case w.mayWipe():
-			w.wipe(w.voter())
+		case w.toleratesDiskLoss():
+			w.loseDisk(w.randomVoter())
 		default:
 			w.after(20*time.Millisecond, second)
 		}
@@ -267,7 +269,7 @@
 // faultLaggingElected cuts one follower off, waits for an accepted change, then takes the disk of the other
 // follower and the life of the leader, and heals the cut: only the leader's disk holds the change then.
 func (w *world) faultLaggingElected() {
-	if !w.mayWipe() {
+	if !w.toleratesDiskLoss() {
 		return
 	}
 	leader := w.leader()
@@ -281,38 +283,38 @@
 	if lagging.zone == leader.zone || lagging.zone == lost.zone {
 		return
 	}
-	heal := w.cutZone(lagging.zone)
-	w.controlTrouble(4 * time.Second)
+	heal := w.partitionZone(lagging.zone)
+	w.recordControlDisturbance(4 * time.Second)
 	w.onAccept = append(w.onAccept, func() {
-		if !w.votersWhole() {
+		if !w.allVotersIntact() {
 			return // another disk was lost meanwhile, and two at once are more than a group of three bears
 		}
 		leader.die(true)
-		w.wipe(lost)
+		w.loseDisk(lost)
 		w.restartControl(leader, 6*time.Second)
 	})
 	w.after(3500*time.Millisecond, heal)
 }
 
-// cutZone cuts a zone from the others and returns what heals it.
-func (w *world) cutZone(zone string) (heal func()) {
+// partitionZone cuts a zone from the others and returns what heals it.
+func (w *world) partitionZone(zone string) (heal func()) {
 	var pairs [][2]string
 	for _, other := range zones {
 		if other != zone {
 			pairs = append(pairs, [2]string{zone, other}, [2]string{other, zone})
 		}
 	}
-	return w.cut(pairs)
+	return w.partition(pairs)
 }
 
-func (w *world) cut(pairs [][2]string) (heal func()) {
+func (w *world) partition(pairs [][2]string) (heal func()) {
 	for _, pair := range pairs {
-		w.network.cut[pair]++
+		w.network.partitioned[pair]++
 	}
 	return func() {
 		for _, pair := range pairs {
-			if w.network.cut[pair]--; w.network.cut[pair] <= 0 {
-				delete(w.network.cut, pair)
+			if w.network.partitioned[pair]--; w.network.partitioned[pair] <= 0 {
+				delete(w.network.partitioned, pair)
 			}
 		}
 		w.logf("cut healed")
@@ -321,8 +323,8 @@
 
 func (w *world) faultCutZone() {
 	length := w.between(500*time.Millisecond, 9*time.Second)
-	w.controlTrouble(length)
-	w.after(length, w.cutZone(pick(w, zones)))
+	w.recordControlDisturbance(length)
+	w.after(length, w.partitionZone(pick(w, zones)))
 }
 
 func (w *world) faultCutOneWay() {
@@ -331,15 +333,15 @@
 		return
 	}
 	length := w.between(500*time.Millisecond, 9*time.Second)
-	w.controlTrouble(length)
-	w.after(length, w.cut([][2]string{{from, to}}))
+	w.recordControlDisturbance(length)
+	w.after(length, w.partition([][2]string{{from, to}}))
 }
 
 func (w *world) faultBadNetwork() {
 	length := w.between(time.Second, 8*time.Second)
-	w.network.badUntil = max(w.network.badUntil, w.now()+length)
-	w.network.lossShare = 0.02 + 0.2*w.random.Float64()
-	w.controlTrouble(length)
+	w.network.degradedUntil = max(w.network.degradedUntil, w.now()+length)
+	w.network.lossRatio = 0.02 + 0.2*w.random.Float64()
+	w.recordControlDisturbance(length)
 }
 
 // faultBlackout takes the majority of control while routers restart.
@@ -377,7 +379,7 @@
 
 func (w *world) faultClockJump() {
 	pick(w, w.controls).wallSkew += w.between(-10*time.Minute, 10*time.Minute)
-	w.oracle.dayMoved()
+	w.oracle.updateWallSkews()
 }
 
-func (w *world) faultShift() { w.callers.hot += 3 }
+func (w *world) faultShiftHotPrefix() { w.callers.hot += 3 }
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	fleetService   = "fleet"
-	fleetModel     = "m"
-	fleetBackends  = 4
-	fleetGateways  = 3
-	fleetOperators = 2
-	fleetTrust     = 2 * time.Second
-	fleetOrderWait = 2500 * time.Millisecond
-	fleetHold      = 300 * time.Millisecond
-	fleetBeat      = 500 * time.Millisecond
-	fleetSend      = 60 * time.Millisecond
-	fleetLoad      = 800 * time.Millisecond
-	fleetDrain     = 2 * time.Second
-	fleetOlder     = 0.2             // share of lives that begin with older weights than the last one had
-	fleetLate      = 4 * time.Second // longest delay of an order whose answer was lost
-	fleetMoves     = 0.1             // share of a gateway's questions with which it goes to another replica
-	alone          = 1 << 20         // gateways up to which the leader answers all, where no replica is to answer for it
+	fleetService           = "fleet"
+	fleetModel             = "m"
+	fleetBackends          = 4
+	fleetGateways          = 3
+	fleetOperators         = 2
+	fleetViewTTL           = 2 * time.Second
+	fleetOrderDelay        = 2500 * time.Millisecond
+	fleetHold              = 300 * time.Millisecond
+	fleetHeartbeatInterval = 500 * time.Millisecond
+	fleetSendInterval      = 60 * time.Millisecond
+	fleetLoadTime          = 800 * time.Millisecond
+	fleetDrainTime         = 2 * time.Second
+	olderWeightsRatio      = 0.2             // share of lives that begin with older weights than the last one had
+	maxOrderDelay          = 4 * time.Second // longest delay of an order whose answer was lost
+	replicaSwitchRatio     = 0.1             // share of a gateway's questions with which it goes to another replica
+	noRelay                = 1 << 20         // gateways up to which the leader answers all, where no replica is to answer for it
 	// sendWindow after a back end began to load, while the leader that ordered it goes on leading, no gateway may send there.
 	sendWindow = 300 * time.Millisecond
 	// holderWindow is the least time between orders of two holders to one back end: the pause by a clock that runs fast.
-	holderWindow = fleetOrderWait * 100 / 105
+	holderWindow = fleetOrderDelay * 100 / 105
 )
 
 // fleetOperator replaces the routing document and names weights; it resends when an answer is lost, and races the other.
@@ -46,7 +46,7 @@
 	o.start()
 	o.asker = newAsker(o.w, o.process)
 	o.after(o.w.between(2*time.Second, 5*time.Second), o.replace)
-	o.after(o.w.between(6*time.Second, 12*time.Second), o.nameWeights)
+	o.after(o.w.between(6*time.Second, 12*time.Second), o.publishWeightsPeriodically)
 }
 
 // replace sends a document a few revisions above the newest one that anybody was told of, so that two operators may use
@@ -71,7 +71,7 @@
 	request := control.Request{Catalog: &catalog.Command{Replace: &document}}
 	o.asker.once(request, askTimeout, func(response control.Response, answered bool) {
 		if answered && response.Catalog != nil && !o.w.chance(lostAnswer) {
-			o.w.oracle.documentAcknowledged(document.Revision)
+			o.w.oracle.recordDocumentAck(document.Revision)
 			return
 		}
 		if left > 0 {
@@ -80,21 +80,21 @@
 	})
 }
 
-func (o *fleetOperator) nameWeights() {
+func (o *fleetOperator) publishWeightsPeriodically() {
 	if o.w.now() > activeTime {
 		return
 	}
-	o.after(o.w.between(4*time.Second, 14*time.Second), o.nameWeights)
-	o.nameWeightsNow()
+	o.after(o.w.between(4*time.Second, 14*time.Second), o.publishWeightsPeriodically)
+	o.publishWeights()
 }
 
-func (o *fleetOperator) nameWeightsNow() {
-	version := o.w.oracle.fleet.named + 1
-	o.w.oracle.nameSent(version)
+func (o *fleetOperator) publishWeights() {
+	version := o.w.oracle.fleet.lastPublishedSent + 1
+	o.w.oracle.recordPublishSent(version)
 	request := control.Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: fleetModel, Version: version}}}
 	o.asker.ask(request, o.w.now()+20*time.Second, func(_ control.Response, decided bool) {
 		if decided {
-			o.w.oracle.nameAcknowledged(version)
+			o.w.oracle.recordPublishAck(version)
 		}
 	})
 }
@@ -102,45 +102,45 @@
 // fleetBackend registers itself, takes orders, drains, leaves, and comes back as another life at its address.
 type fleetBackend struct {
 	*process
-	asker    *asker
-	lives    int
-	id       string
-	sequence uint64
-	draining bool
-	version  uint64
-	loadsTo  time.Duration
-	revision uint64 // orders taken in this life
-	fence    uint64
-	shed     shedding
-	need     need
-	told     string // what a heartbeat told that the leader has taken
+	asker        *asker
+	incarnations int
+	id           string
+	sequence     uint64
+	draining     bool
+	version      uint64
+	loadingUntil time.Duration
+	revision     uint64 // orders taken in this life
+	fence        uint64
+	rejecting    rejection
+	advertised   limitPeriod
+	ackedState   string // what a heartbeat told that the leader has taken
 }
 
 func (b *fleetBackend) boot() {
 	b.start()
 	b.asker = newAsker(b.w, b.process)
-	b.lives++
+	b.incarnations++
 	b.id = b.nextID()
-	b.sequence, b.draining, b.loadsTo, b.revision, b.fence, b.told = 0, false, 0, 0, 0, ""
-	b.shed, b.need = shedding{}, need{}
+	b.sequence, b.draining, b.loadingUntil, b.revision, b.fence, b.ackedState = 0, false, 0, 0, 0, ""
+	b.rejecting, b.advertised = rejection{}, limitPeriod{}
 	b.version = max(b.version, 1)
-	if b.version > 1 && b.w.chance(fleetOlder) {
+	if b.version > 1 && b.w.chance(olderWeightsRatio) {
 		b.version-- // it kept older weights than it was last seen with
 	}
-	b.ticker(fleetBeat, b.beat)
+	b.ticker(fleetHeartbeatInterval, b.heartbeat)
 	b.after(b.w.between(10*time.Second, 40*time.Second), b.drain)
 }
 
 // nextID returns the id of the life that begins: the back end's own name and its start, or, in every other run, a name of each life.
 func (b *fleetBackend) nextID() string {
-	if b.w.tellsLives {
+	if b.w.reportsStartTime {
 		return catalog.Incarnation{Name: b.process.name, StartedMS: b.w.today().UnixMilli()}.ID()
 	}
-	return fmt.Sprintf("%s-%d", b.process.name, b.lives)
+	return fmt.Sprintf("%s-%d", b.process.name, b.incarnations)
 }
 
-// isMeant reports whether a call that expects a life reaches this one: a back end knows its name alone.
-func (b *fleetBackend) isMeant(id string) bool {
+// matchesID reports whether a call that expects a life reaches this one: a back end knows its name alone.
+func (b *fleetBackend) matchesID(id string) bool {
 	return catalog.ParseInstanceID(id).Name == catalog.ParseInstanceID(b.id).Name
 }
 
@@ -152,35 +152,35 @@
 	return catalog.Instance{ID: b.id, Service: fleetService, Address: b.process.name, Zone: b.zone, State: state}
 }
 
-// beat sends a heartbeat; some arrive seconds late.
-func (b *fleetBackend) beat() {
+// heartbeat sends a heartbeat; some arrive seconds late.
+func (b *fleetBackend) heartbeat() {
 	b.sequence++
 	beat := &control.BackendHeartbeat{Instance: b.instance(), Sequence: b.sequence, Versions: map[string]uint64{fleetModel: b.version}}
 	late := time.Duration(0)
 	if b.w.chance(0.05) {
 		late = b.w.between(0, 3*time.Second)
 	}
-	b.w.after(late, func() { b.sendBeat(beat) })
+	b.w.after(late, func() { b.sendHeartbeat(beat) })
 }
 
-// sendBeat sends a heartbeat, or a sign where the leader has taken a whole one that told the same.
-func (b *fleetBackend) sendBeat(beat *control.BackendHeartbeat) {
+// sendHeartbeat sends a heartbeat, or a sign where the leader has taken a whole one that told the same.
+func (b *fleetBackend) sendHeartbeat(beat *control.BackendHeartbeat) {
 	request := b.request(beat)
-	if b.told == toldOf(beat) && beat.Sequence%3 == 0 {
+	if b.ackedState == heartbeatState(beat) && beat.Sequence%3 == 0 {
 		request = control.Request{Keepalives: []control.Keepalive{{ID: beat.Instance.ID, Sequence: beat.Sequence}}}
 	}
 	b.asker.once(request, askTimeout, func(response control.Response, answered bool) {
 		switch {
 		case !answered || response.Kind != control.ResponseOK || len(response.UnknownBackends) > 0:
-			b.told = ""
+			b.ackedState = ""
 		case len(request.Keepalives) == 0:
-			b.told = toldOf(beat)
+			b.ackedState = heartbeatState(beat)
 		}
 	})
 }
 
-// toldOf names what a heartbeat tells beside its number.
-func toldOf(beat *control.BackendHeartbeat) string {
+// heartbeatState names what a heartbeat tells beside its number.
+func heartbeatState(beat *control.BackendHeartbeat) string {
 	return fmt.Sprint(beat.Instance.ID, beat.Instance.State, beat.Versions[fleetModel])
 }
 
@@ -203,9 +203,9 @@
 	beat := &control.BackendHeartbeat{Instance: b.instance(), Sequence: b.sequence}
 	b.asker.ask(b.request(beat), b.w.now()+10*time.Second, func(_ control.Response, decided bool) {
 		if decided {
-			b.w.oracle.fleet.leaving[id] = b.w.now()
+			b.w.oracle.fleet.draining[id] = b.w.now()
 		}
-		b.after(fleetDrain, func() {
+		b.after(fleetDrainTime, func() {
 			leave := &control.BackendHeartbeat{Instance: catalog.Instance{ID: catalog.ParseInstanceID(id).Name}, Leaving: true}
 			b.asker.ask(control.Request{BackendHeartbeat: leave}, b.w.now()+10*time.Second, func(control.Response, bool) {
 				b.kill(false)
@@ -215,11 +215,11 @@
 	})
 }
 
-// take carries out a call of a leader.
-func (b *fleetBackend) take(call control.WeightsCall) control.WeightsResult {
-	loading := b.w.now() < b.loadsTo
+// handleCall carries out a call of a leader.
+func (b *fleetBackend) handleCall(call control.WeightsCall) control.WeightsResult {
+	loading := b.w.now() < b.loadingUntil
 	switch {
-	case !b.isMeant(call.Instance):
+	case !b.matchesID(call.Instance):
 		return control.WeightsResult{Kind: control.WeightsRejected}
 	case call.Kind == control.WeightsQuery:
 		return control.WeightsResult{Kind: control.WeightsReported, Versions: map[string]uint64{fleetModel: b.version}, Busy: loading, Revision: b.revision}
@@ -230,8 +230,8 @@
 	}
 	b.fence = call.Fence
 	b.revision++
-	b.loadsTo = b.w.now() + fleetLoad
-	b.after(fleetLoad, func() { b.version = call.Version })
+	b.loadingUntil = b.w.now() + fleetLoadTime
+	b.after(fleetLoadTime, func() { b.version = call.Version })
 	return control.WeightsResult{Kind: control.WeightsAccepted}
 }
 
@@ -243,7 +243,7 @@
 		return
 	}
 	if call.Kind == control.WeightsOrder {
-		n.w.oracle.ordered(n, call)
+		n.w.oracle.checkOrder(n, call)
 	}
 	report := func(result control.WeightsResult) {
 		result.Call = call
@@ -252,18 +252,18 @@
 	if call.Kind == control.WeightsOrder && n.w.chance(0.15) {
 		n.after(time.Second, func() { report(control.WeightsResult{Kind: control.WeightsUnknown}) })
 		if n.w.chance(0.7) {
-			n.w.after(n.w.between(0, fleetLate), func() { target.run(target.life, func() { target.take(call) }) })
+			n.w.after(n.w.between(0, maxOrderDelay), func() { target.run(target.generation, func() { target.handleCall(call) }) })
 		}
 		return
 	}
 	n.w.call(n.process, target.process, time.Second, func(respond func(func())) {
-		result := target.take(call)
+		result := target.handleCall(call)
 		if result.Kind == control.WeightsAccepted {
-			n.w.oracle.tookOrder(call)
+			n.w.oracle.recordLoadStart(call)
 		}
 		respond(func() { report(result) })
 	}, func(bool) {
-		n.w.oracle.answerLost(call)
+		n.w.oracle.recordLostReply(call)
 		report(control.WeightsResult{Kind: control.WeightsUnknown})
 	})
 }
@@ -279,107 +279,107 @@
 // fleetGateway follows control as a gateway does, and sends to back ends of its roster while its view counts.
 type fleetGateway struct {
 	*process
-	asker     *asker
-	startedAt time.Duration
-	revision  uint64
-	version   control.RosterVersion
-	roster    []control.RosterEntry
-	confirmed time.Duration // by its own clock; 0 never
-	record    *quarantine.Tracker
-	namings   *belief.PublishTimes
-	pushed    *pushback.Tracker // what back ends said of themselves
-	borrower  *allowance.Client
-	lender    *asker // asks for parts of limits
-	asking    bool
+	asker           *asker
+	startedAt       time.Duration
+	revision        uint64
+	version         control.RosterVersion
+	roster          []control.RosterEntry
+	confirmed       time.Duration // by its own clock; 0 never
+	crashes         *quarantine.Tracker
+	publishTimes    *belief.PublishTimes
+	signals         *pushback.Tracker // what back ends said of themselves
+	leases          *allowance.Client
+	leaseAsker      *asker // asks for parts of limits
+	requestingLease bool
 }
 
 func (g *fleetGateway) boot() {
 	g.start()
 	g.startedAt = g.w.now()
 	g.asker = newAsker(g.w, g.process)
-	g.revision, g.version, g.roster, g.confirmed, g.record = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
-	g.namings, g.pushed = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
-	g.borrower, g.asking = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetTrust), false
-	g.lender = &asker{w: g.w, from: g.process}
-	g.w.oracle.fleet.told[g.process.name] = map[uint64]time.Duration{}
-	g.w.oracle.fleet.used[g.process.name] = 0
-	g.follow()
-	g.ticker(fleetSend, g.send)
-	g.endHot()
+	g.revision, g.version, g.roster, g.confirmed, g.crashes = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
+	g.publishTimes, g.signals = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
+	g.leases, g.requestingLease = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.generation), fleetViewTTL), false
+	g.leaseAsker = &asker{w: g.w, from: g.process}
+	g.w.oracle.fleet.publicationSeenAt[g.process.name] = map[uint64]time.Duration{}
+	g.w.oracle.fleet.usedRevision[g.process.name] = 0
+	g.watchControl()
+	g.ticker(fleetSendInterval, g.send)
+	g.completeHotRequest()
 }
 
 func (g *fleetGateway) clock() time.Duration { return g.elapsed(g.startedAt, g.w.now()) }
 
-func (g *fleetGateway) follow() {
+func (g *fleetGateway) watchControl() {
 	asked := g.clock()
-	told := g.w.oracle.fleetTold()
-	question := &control.Watch{
-		Gateway: g.process.name, Zone: g.zone, Revision: g.revision, Roster: g.version, Hold: fleetHold, Quarantine: g.record.Version(),
+	floor := g.w.oracle.currentFloor()
+	watch := &control.Watch{
+		Gateway: g.process.name, Zone: g.zone, Revision: g.revision, Roster: g.version, Hold: fleetHold, Quarantine: g.crashes.Version(),
 	}
-	if g.w.relayed && g.w.chance(fleetMoves) {
+	if g.w.relaysWatches && g.w.chance(replicaSwitchRatio) {
 		g.asker.leader = pick(g.w, g.w.controls).name // another replica answers from now on
 	}
-	g.asker.once(control.Request{Watch: question}, askTimeout, func(response control.Response, answered bool) {
+	g.asker.once(control.Request{Watch: watch}, askTimeout, func(response control.Response, answered bool) {
 		pause := askPause
 		if answered && response.Kind == control.ResponseOK && response.Watch != nil {
-			g.take(asked, told, response.Watch)
+			g.applyWatchReply(asked, floor, response.Watch)
 			pause = time.Millisecond
 		}
-		g.after(pause, g.follow)
+		g.after(pause, g.watchControl)
 	})
 }
 
-func (g *fleetGateway) take(asked time.Duration, told fleetFloor, reply *control.WatchReply) {
-	g.w.oracle.watchAnswered(g.process.name, told, reply)
+func (g *fleetGateway) applyWatchReply(asked time.Duration, floor watchFloor, reply *control.WatchReply) {
+	g.w.oracle.checkWatchReply(g.process.name, floor, reply)
 	if reply.Document != nil && reply.Revision > g.revision {
 		g.revision = reply.Revision
-		g.w.oracle.documentSeen(g.process.name, *reply.Document)
+		g.w.oracle.checkDocument(g.process.name, *reply.Document)
 	}
 	before := g.roster
 	if reply.Roster != nil {
 		g.roster = reply.Roster.Merge(g.roster)
 	}
 	if g.confirmed > 0 {
-		g.record.RecordIdle(g.clock(), g.clock()-g.confirmed-fleetTrust)
+		g.crashes.RecordIdle(g.clock(), g.clock()-g.confirmed-fleetViewTTL)
 	}
-	g.takeQuarantine(reply, before)
-	g.namings.Update(g.clock(), asked, reply.Version.Term, reply.Publications)
-	g.w.oracle.namingsTold(g.process.name, reply.Publications)
+	g.applyQuarantineUpdate(reply, before)
+	g.publishTimes.Update(g.clock(), asked, reply.Version.Term, reply.Publications)
+	g.w.oracle.recordPublicationsSeen(g.process.name, reply.Publications)
 	g.version, g.confirmed = reply.Version, asked
-	g.borrower.RecordContact(asked, reply.Gateways)
+	g.leases.RecordContact(asked, reply.Gateways)
 }
 
-// mayBeSent reports whether the gateway's view counts.
-func (g *fleetGateway) mayBeSent() bool {
-	return g.confirmed > 0 && g.clock()-g.confirmed < fleetTrust && len(g.roster) > 0
+// hasValidView reports whether the gateway's view counts.
+func (g *fleetGateway) hasValidView() bool {
+	return g.confirmed > 0 && g.clock()-g.confirmed < fleetViewTTL && len(g.roster) > 0
 }
 
 // send picks a back end as a gateway would and tells the oracle.
 func (g *fleetGateway) send() {
-	if !g.mayBeSent() {
+	if !g.hasValidView() {
 		return
 	}
-	if entry := pick(g.w, g.roster); g.maySendTo(entry) && g.permitted(entry) {
+	if entry := pick(g.w, g.roster); g.maySendTo(entry) && g.hasLease(entry) {
 		g.sendTo(entry)
 	}
 }
 
 // maySendTo reports whether a back end may get a request, but for its limit.
 func (g *fleetGateway) maySendTo(entry control.RosterEntry) bool {
-	return g.mayBeSent() && entry.State == catalog.StateReady && !entry.Loading && !g.tooOld(entry) && !g.barred(entry)
+	return g.hasValidView() && entry.State == catalog.StateReady && !entry.Loading && !g.startsTooLate(entry) && !g.isRestricted(entry)
 }
 
 func (g *fleetGateway) sendTo(entry control.RosterEntry) {
-	g.w.oracle.fleetSent(g.process.name, entry.ID)
-	g.begin(entry)
+	g.w.oracle.checkFleetSend(g.process.name, entry.ID)
+	g.startRequest(entry)
 }
 
-// relayAbove is how many gateways the leader answers by itself: all, or none in every other run.
-func (w *world) relayAbove() int {
-	if w.relayed {
+// maxDirectGateways is how many gateways the leader answers by itself: all, or none in every other run.
+func (w *world) maxDirectGateways() int {
+	if w.relaysWatches {
 		return 0
 	}
-	return alone
+	return noRelay
 }
 
 // makeFleet lays the gateway fleet out over the zones.
@@ -410,11 +410,11 @@
 // healFleet brings every process of the fleet back.
 func (w *world) healFleet() {
 	for _, g := range w.gateways {
-		g.thaw()
+		g.resume()
 		w.restart(g, 0)
 	}
 	for _, b := range w.backends {
-		b.thaw()
+		b.resume()
 		w.restart(b, 0)
 	}
 }
--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// fleetFault strikes one process of the fleet.
-func (w *world) fleetFault() {
+// faultFleetProcess strikes one process of the fleet.
+func (w *world) faultFleetProcess() {
 	w.faults++
 	if w.chance(0.4) {
 		struck := pick(w, w.backends)
@@ -14,7 +14,7 @@
 	struck := pick(w, w.gateways)
 	if w.chance(0.5) {
 		struck.freeze()
-		w.after(w.between(500*time.Millisecond, 5*time.Second), struck.thaw)
+		w.after(w.between(500*time.Millisecond, 5*time.Second), struck.resume)
 		return
 	}
 	struck.kill(w.chance(0.5))
@@ -33,13 +33,13 @@
 func (n *controlNode) stallDisk(length time.Duration) {
 	n.w.logf("%s: its disk stalls for %v", n.name, length)
 	n.stallsTo = n.w.now() + length
-	n.w.controlTrouble(length + calmNeeded)
+	n.w.recordControlDisturbance(length + calmNeeded)
 }
 
 // faultStallOrder stalls the disk of a leader between the decision and the send of an order, once weights are named.
 func (w *world) faultStallOrder() {
-	w.mischief.stallsOrder = true
-	pick(w, w.fleetOperators).nameWeightsNow()
+	w.mischief.stallDiskOnOrder = true
+	pick(w, w.fleetOperators).publishWeights()
 }
 
 // faultCutThenKill cuts a replica off while changes are made, heals the cut, and kills the others at once: what they
@@ -47,8 +47,8 @@
 func (w *world) faultCutThenKill() {
 	behind := pick(w, w.controls)
 	length := w.between(2*time.Second, 6*time.Second)
-	w.after(length, w.cutZone(behind.zone))
-	w.controlTrouble(length + calmNeeded)
+	w.after(length, w.partitionZone(behind.zone))
+	w.recordControlDisturbance(length + calmNeeded)
 	w.after(length+w.between(0, 50*time.Millisecond), func() {
 		for _, n := range w.controls {
 			if n != behind {
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -7,102 +7,102 @@
 )
 
 const (
-	// fleetLimit is how long after newer weights were named a request may begin on older ones.
-	fleetLimit = 4 * time.Second
-	// limitSlack is what clocks cost: leader and gateway count the limit by clocks that run up to clockSkew slow.
-	limitSlack = fleetLimit / 19 // 0.05 / 0.95
-	// dayRounding is what times of day in whole milliseconds cost, at the proposer and at the leader.
-	dayRounding = 2 * time.Millisecond
+	// oldWeightsStartLimit is how long after newer weights were named a request may begin on older ones.
+	oldWeightsStartLimit = 4 * time.Second
+	// clockSlack is what clocks cost: leader and gateway count the limit by clocks that run up to clockSkew slow.
+	clockSlack = oldWeightsStartLimit / 19 // 0.05 / 0.95
+	// wallClockRounding is what times of day in whole milliseconds cost, at the proposer and at the leader.
+	wallClockRounding = 2 * time.Millisecond
 )
 
-// fleetNaming is a version that an operator names.
-type fleetNaming struct {
+// publication is a version that an operator names.
+type publication struct {
 	acked   bool
 	ackedAt time.Duration
-	// highest is how far any replica's time of day was ahead while it may have been proposed, lowest how far behind since. A leader that
+	// maxSkew is how far any replica's time of day was ahead while it may have been proposed, minSkew how far behind since. A leader that
 	// didn't see the naming takes it to be younger by as much as its clock is behind the proposer's.
-	highest, lowest time.Duration
+	maxSkew, minSkew time.Duration
 }
 
-// tooOld reports whether no request may begin on a back end's weights any more. It sends none where it doesn't know them.
-func (g *fleetGateway) tooOld(entry control.RosterEntry) bool {
+// startsTooLate reports whether no request may begin on a back end's weights any more. It sends none where it doesn't know them.
+func (g *fleetGateway) startsTooLate(entry control.RosterEntry) bool {
 	held, known := entry.Versions[fleetModel]
-	namedAt, lacks := g.namings.OldestMissing(fleetModel, held)
-	return !known || lacks && g.clock() >= namedAt+fleetLimit
+	namedAt, lacks := g.publishTimes.OldestMissing(fleetModel, held)
+	return !known || lacks && g.clock() >= namedAt+oldWeightsStartLimit
 }
 
-// begin begins a request that names the weights it counts on, unless the back end refuses it.
-func (g *fleetGateway) begin(entry control.RosterEntry) {
+// startRequest begins a request that names the weights it counts on, unless the back end refuses it.
+func (g *fleetGateway) startRequest(entry control.RosterEntry) {
 	b := g.w.fleetBackend(entry.Address)
 	if b == nil || !b.up || b.frozen {
 		return
 	}
-	g.w.oracle.sends(pairOf(g.process, b.id))
-	g.w.oracle.sendsLimited(pairOf(g.process, b.id), b.need)
+	g.w.oracle.checkSend(pairOf(g.process, b.id))
+	g.w.oracle.checkLimitedSend(pairOf(g.process, b.id), b.advertised)
 	asked := g.clock()
-	if !b.isMeant(entry.ID) {
+	if !b.matchesID(entry.ID) {
 		return // it refuses for that alone, and wants no rest for it
 	}
-	refused := g.hear(asked, entry, b) || b.version != entry.Versions[fleetModel] || g.w.now() < b.loadsTo
+	refused := g.observeResponse(asked, entry, b) || b.version != entry.Versions[fleetModel] || g.w.now() < b.loadingUntil
 	if !refused {
-		g.w.oracle.fleetBegan(g.process.name, b)
+		g.w.oracle.checkRequestStart(g.process.name, b)
 	}
 }
 
-// nameSent notes that a version is about to be named.
-func (o *oracle) nameSent(version uint64) {
-	o.fleet.named = version
-	o.fleet.namings[version] = &fleetNaming{highest: o.w.controls[0].wallSkew, lowest: o.w.controls[0].wallSkew}
-	o.dayMoved()
+// recordPublishSent notes that a version is about to be named.
+func (o *oracle) recordPublishSent(version uint64) {
+	o.fleet.lastPublishedSent = version
+	o.fleet.publications[version] = &publication{maxSkew: o.w.controls[0].wallSkew, minSkew: o.w.controls[0].wallSkew}
+	o.updateWallSkews()
 }
 
-// nameAcknowledged notes that an operator was told that a version is named.
-func (o *oracle) nameAcknowledged(version uint64) {
-	naming := o.fleet.namings[version]
+// recordPublishAck notes that an operator was told that a version is named.
+func (o *oracle) recordPublishAck(version uint64) {
+	naming := o.fleet.publications[version]
 	naming.acked, naming.ackedAt = true, o.w.now()
-	o.fleet.namedAcked = max(o.fleet.namedAcked, version)
-	waiting := o.w.onNamed
-	o.w.onNamed = nil
+	o.fleet.lastPublishedAcked = max(o.fleet.lastPublishedAcked, version)
+	waiting := o.w.onPublished
+	o.w.onPublished = nil
 	for _, run := range waiting {
 		run()
 	}
 }
 
-// dayMoved takes up the replicas' times of day.
-func (o *oracle) dayMoved() {
-	for _, naming := range o.fleet.namings {
+// updateWallSkews takes up the replicas' times of day.
+func (o *oracle) updateWallSkews() {
+	for _, naming := range o.fleet.publications {
 		for _, n := range o.w.controls {
-			naming.lowest = min(naming.lowest, n.wallSkew)
+			naming.minSkew = min(naming.minSkew, n.wallSkew)
 			if !naming.acked {
-				naming.highest = max(naming.highest, n.wallSkew)
+				naming.maxSkew = max(naming.maxSkew, n.wallSkew)
 			}
 		}
 	}
 }
 
-// namingsTold notes when a gateway first heard of each naming, in its current life.
-func (o *oracle) namingsTold(gateway string, wanted []control.WeightsPublication) {
+// recordPublicationsSeen notes when a gateway first heard of each naming, in its current life.
+func (o *oracle) recordPublicationsSeen(gateway string, wanted []control.WeightsPublication) {
 	for _, w := range wanted {
-		if _, told := o.fleet.told[gateway][w.Version]; !told {
-			o.fleet.told[gateway][w.Version] = o.w.now()
+		if _, told := o.fleet.publicationSeenAt[gateway][w.Version]; !told {
+			o.fleet.publicationSeenAt[gateway][w.Version] = o.w.now()
 		}
 	}
 }
 
-// fleetBegan checks that a request begins in time: within the limit after a newer version was acknowledged, give or take what clocks
+// checkRequestStart checks that a request begins in time: within the limit after a newer version was acknowledged, give or take what clocks
 // cost, and, whatever times of day did, within the limit after this gateway first heard of one.
-func (o *oracle) fleetBegan(gateway string, b *fleetBackend) {
+func (o *oracle) checkRequestStart(gateway string, b *fleetBackend) {
 	now := o.w.now()
-	for version, naming := range o.fleet.namings {
+	for version, naming := range o.fleet.publications {
 		if version <= b.version {
 			continue
 		}
-		day := naming.highest - naming.lowest + dayRounding
-		if late := now - naming.ackedAt - fleetLimit - limitSlack - day; naming.acked && late > 0 {
+		day := naming.maxSkew - naming.minSkew + wallClockRounding
+		if late := now - naming.ackedAt - oldWeightsStartLimit - clockSlack - day; naming.acked && late > 0 {
 			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-naming.ackedAt, version)
 		}
-		heard, told := o.fleet.told[gateway][version]
-		if late := now - heard - fleetLimit - limitSlack; told && late > 0 {
+		heard, told := o.fleet.publicationSeenAt[gateway][version]
+		if late := now - heard - oldWeightsStartLimit - clockSlack; told && late > 0 {
 			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after it heard of %d", gateway, b.version, b.id, now-heard, version)
 		}
 	}
@@ -115,17 +115,17 @@
 	away := w.between(1500*time.Millisecond, 4*time.Second)
 	switch {
 	case leader == nil || late == leader || w.chance(0.4):
-		w.onNamed = append(w.onNamed, func() { w.after(w.between(0, away), w.restartAllControl) })
+		w.onPublished = append(w.onPublished, func() { w.after(w.between(0, away), w.restartAllControl) })
 	case w.chance(0.5):
-		w.after(away, w.cutZone(late.zone))
-		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.loseLeader(leader) })
+		w.after(away, w.partitionZone(late.zone))
+		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.restartReplica(leader) })
 	default:
 		late.freeze()
-		w.after(away, late.thaw)
-		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.loseLeader(leader) })
+		w.after(away, late.resume)
+		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.restartReplica(leader) })
 	}
-	w.controlTrouble(2 * away)
-	w.onNamed = append(w.onNamed, func() {
+	w.recordControlDisturbance(2 * away)
+	w.onPublished = append(w.onPublished, func() {
 		for _, g := range w.gateways {
 			if w.chance(0.4) {
 				w.after(w.between(0, away), func() { g.kill(false) })
@@ -133,21 +133,21 @@
 			}
 		}
 	})
-	pick(w, w.fleetOperators).nameWeightsNow()
+	pick(w, w.fleetOperators).publishWeights()
 }
 
 func (w *world) restartAllControl() {
 	for _, n := range w.controls {
-		w.loseLeader(n)
+		w.restartReplica(n)
 	}
 }
 
-// loseLeader ends a replica, which starts again soon, some with their time of day set back.
-func (w *world) loseLeader(n *controlNode) {
+// restartReplica ends a replica, which starts again soon, some with their time of day set back.
+func (w *world) restartReplica(n *controlNode) {
 	n.die(w.chance(0.5))
 	if w.chance(0.3) {
 		n.wallSkew -= w.between(time.Second, 20*time.Second)
-		w.oracle.dayMoved()
+		w.oracle.updateWallSkews()
 	}
 	w.restartControl(n, w.between(200*time.Millisecond, 800*time.Millisecond))
 }
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	callerZone   = "callers"  // callers reach every zone
-	platformZone = "platform" // and so does the machine list
-	refusalDelay = 2 * time.Millisecond
-	resendPeriod = 100 * time.Millisecond
-	localLatency = 200 * time.Microsecond
-	zoneLatency  = 1500 * time.Microsecond
-	callLoss     = 0.001 // share of calls whose connection dies in a network without faults
+	callerZone     = "callers"  // callers reach every zone
+	platformZone   = "platform" // and so does the machine list
+	refusalDelay   = 2 * time.Millisecond
+	resendInterval = 100 * time.Millisecond
+	localLatency   = 200 * time.Microsecond
+	zoneLatency    = 1500 * time.Microsecond
+	callLossRatio  = 0.001 // share of calls whose connection dies in a network without faults
 )
 
 // network tells how messages travel.
 type network struct {
-	cut       map[[2]string]int // directed zone pairs that are cut, and how often
-	badUntil  time.Duration     // messages are lost, delayed, repeated and reordered until then
-	lossShare float64
+	partitioned   map[[2]string]int // directed zone pairs that are cut, and how often
+	degradedUntil time.Duration     // messages are lost, delayed, repeated and reordered until then
+	lossRatio     float64
 }
 
-func (w *world) isCut(from, to *process) bool {
-	return w.network.cut[[2]string{from.zone, to.zone}] > 0
+func (w *world) isPartitioned(from, to *process) bool {
+	return w.network.partitioned[[2]string{from.zone, to.zone}] > 0
 }
 
-func (w *world) bad() bool { return w.now() < w.network.badUntil }
+func (w *world) isDegraded() bool { return w.now() < w.network.degradedUntil }
 
 // latency draws the time of one way.
 func (w *world) latency(from, to *process) time.Duration {
@@ -32,7 +32,7 @@
 		base = zoneLatency
 	}
 	delay := base + w.between(0, base)
-	if w.bad() && w.chance(0.3) {
+	if w.isDegraded() && w.chance(0.3) {
 		delay += w.between(0, 150*time.Millisecond)
 	}
 	return delay
@@ -40,20 +40,20 @@
 
 // lost draws whether a message is lost.
 func (w *world) lost(from, to *process) bool {
-	return w.isCut(from, to) || (w.bad() && w.chance(w.network.lossShare))
+	return w.isPartitioned(from, to) || (w.isDegraded() && w.chance(w.network.lossRatio))
 }
 
 // message sends something that may be lost, repeated or reordered.
 func (w *world) message(from, to *process, arrive func()) {
 	copies := 1
-	if w.bad() && w.chance(0.1) {
+	if w.isDegraded() && w.chance(0.1) {
 		copies = 2
 	}
 	for range copies {
 		if w.lost(from, to) {
 			continue
 		}
-		life := to.life
+		life := to.generation
 		w.after(w.latency(from, to), func() { to.run(life, arrive) })
 	}
 }
@@ -65,22 +65,22 @@
 	from, to *process
 	fromLife int
 	settled  bool
-	failed   func(refused bool)
+	failed   func(notSent bool)
 }
 
 // call sends a request; serve runs at the callee and answers through respond.
 func (w *world) call(from, to *process, timeout time.Duration, serve func(respond func(answer func())), failed func(refused bool)) {
-	c := &call{w: w, from: from, to: to, fromLife: from.life, failed: failed}
+	c := &call{w: w, from: from, to: to, fromLife: from.generation, failed: failed}
 	if !to.up {
 		w.after(refusalDelay, func() { c.fail(true) })
 		return
 	}
 	w.after(timeout, func() { c.fail(false) })
-	if w.lost(from, to) || w.chance(callLoss) {
+	if w.lost(from, to) || w.chance(callLossRatio) {
 		return
 	}
-	to.connect(c)
-	life := to.life
+	to.trackConnection(c)
+	life := to.generation
 	w.after(w.latency(from, to), func() {
 		to.run(life, func() { serve(c.respond) })
 	})
@@ -113,39 +113,39 @@
 
 // stream is an ordered connection. Messages wait while the zones are cut from each other, as TCP would have them.
 type stream struct {
-	w        *world
-	from, to *process
-	toLife   int
-	fromLife int
-	waiting  []func()
-	arriveBy time.Duration
-	closed   bool
+	w           *world
+	from, to    *process
+	toLife      int
+	fromLife    int
+	unsent      []func()
+	lastArrival time.Duration
+	closed      bool
 }
 
 func (w *world) newStream(from, to *process) *stream {
-	return &stream{w: w, from: from, to: to, toLife: to.life, fromLife: from.life}
+	return &stream{w: w, from: from, to: to, toLife: to.generation, fromLife: from.generation}
 }
 
 func (s *stream) send(arrive func()) {
-	s.waiting = append(s.waiting, arrive)
-	if len(s.waiting) == 1 {
+	s.unsent = append(s.unsent, arrive)
+	if len(s.unsent) == 1 {
 		s.flush()
 	}
 }
 
 func (s *stream) flush() {
-	if s.w.isCut(s.from, s.to) {
-		s.w.after(resendPeriod, s.flush)
+	if s.w.isPartitioned(s.from, s.to) {
+		s.w.after(resendInterval, s.flush)
 		return
 	}
-	for _, arrive := range s.waiting {
-		at := max(s.arriveBy, s.w.now()+s.w.latency(s.from, s.to))
-		s.arriveBy = at
+	for _, arrive := range s.unsent {
+		at := max(s.lastArrival, s.w.now()+s.w.latency(s.from, s.to))
+		s.lastArrival = at
 		s.w.after(at-s.w.now(), func() {
 			if !s.closed {
 				s.to.run(s.toLife, arrive)
 			}
 		})
 	}
-	s.waiting = nil
+	s.unsent = nil
 }
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -99,9 +99,9 @@
 	firstAccept  time.Duration               // when the first change was accepted
 	controlFault time.Duration               // end of the newest fault that may have stopped control
 	fleet        fleetOracle
-	said         saidOracle
+	said         signalOracle
 	limits       limitOracle
-	deadly       map[quarantine.Fingerprint]*deadlyRequest
+	deadly       map[quarantine.Fingerprint]*fatalRequest
 	deadlies     int
 }
 
@@ -109,7 +109,7 @@
 	return &oracle{
 		w: w, runs: map[string]int{}, notRunSends: map[*exchange]bool{},
 		outcomes: map[string]settings.Outcome{}, versions: map[uint64]string{}, routerUsed: map[string]uint64{},
-		fleet: newFleetOracle(), said: newSaidOracle(), limits: limitOracle{}, deadly: map[quarantine.Fingerprint]*deadlyRequest{},
+		fleet: newFleetOracle(), said: newSignalOracle(), limits: limitOracle{}, deadly: map[quarantine.Fingerprint]*fatalRequest{},
 	}
 }
 
@@ -137,7 +137,7 @@
 
 // checkLeaving checks a send at the moment the router makes it; what was on its way before may arrive late.
 func (o *oracle) checkLeaving(r *routerNode, backend string) {
-	leftAt := o.w.leftAt(backend)
+	leftAt := o.w.drainingSince(backend)
 	if leftAt > 0 && o.w.now() > leftAt+leavingGrace {
 		o.fail(LeavingNoWork, "%s sent new work to %s %v after it was said to leave", r.name, backend, o.w.now()-leftAt)
 	}
@@ -145,7 +145,7 @@
 
 // engineReused checks every block that a job reuses against what the block really holds.
 func (o *oracle) engineReused(e *engineNode, s *sending, output engine.Output) {
-	for block := range output.Cached / blockToken {
+	for block := range output.Cached / tokensPerBlock {
 		wanted := s.request.job.content(output.Weights, block)
 		if held, found := e.cached[output.Job.Blocks[block]]; !found || held != wanted {
 			o.fail(CacheIsolation, "%s reuses block %d for %s of %s under %s, but it holds %+v",
@@ -191,7 +191,7 @@
 	if servesLast {
 		o.fail(RestartServes, "%s refused %s as %s although it holds settings %d", r.name, run.job.name, final.Reason, r.saved.Version)
 	}
-	calm := o.accepted > 0 && o.w.now() > max(o.controlFault, r.wokeAt, o.firstAccept)+calmNeeded
+	calm := o.accepted > 0 && o.w.now() > max(o.controlFault, r.resumedAt, o.firstAccept)+calmNeeded
 	if calm && r.saved.Version > 0 {
 		o.fail(RestartServes, "%s refused %s as %s while control was well", r.name, run.job.name, final.Reason)
 	}
--- a/internal/lab/sim/platform.go
+++ b/internal/lab/sim/platform.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	platformPeriod = 250 * time.Millisecond
-	platformLag    = 800 * time.Millisecond // how old a reading is
-	readingsKept   = 8
+	platformInterval = 250 * time.Millisecond
+	platformLag      = 800 * time.Millisecond // how old a reading is
+	maxReadings      = 8
 )
 
 // platform is the machine list, which lags and is sometimes wrong.
@@ -23,7 +23,7 @@
 	p.start()
 	p.omitted = map[string]bool{}
 	p.sample()
-	p.ticker(platformPeriod, p.sample)
+	p.ticker(platformInterval, p.sample)
 }
 
 // sample records the truth, apart from what the list gets wrong.
@@ -35,27 +35,27 @@
 		}
 	}
 	for _, e := range p.w.engines {
-		add(e.process, modelService, e.leftAt > 0)
+		add(e.process, modelService, e.drainingSince > 0)
 	}
 	for _, s := range p.w.services {
-		add(s.process, smallService, s.leftAt > 0)
+		add(s.process, smallService, s.drainingSince > 0)
 	}
 	p.readings = append(p.readings, machines)
-	if len(p.readings) > readingsKept {
+	if len(p.readings) > maxReadings {
 		p.readings = p.readings[1:]
 	}
 }
 
-// list returns the reading that is platformLag old.
-func (p *platform) list() []core.Machine {
-	at := max(0, len(p.readings)-1-int(platformLag/platformPeriod))
+// currentMachines returns the reading that is platformLag old.
+func (p *platform) currentMachines() []core.Machine {
+	at := max(0, len(p.readings)-1-int(platformLag/platformInterval))
 	return p.readings[at]
 }
 
-// leftAt returns when the platform said that a back end leaves, or 0.
-func (w *world) leftAt(name string) time.Duration {
+// drainingSince returns when the platform said that a back end leaves, or 0.
+func (w *world) drainingSince(name string) time.Duration {
 	if e := w.engine(name); e != nil {
-		return e.leftAt
+		return e.drainingSince
 	}
-	return w.service(name).leftAt
+	return w.service(name).drainingSince
 }
--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -9,19 +9,19 @@
 
 // process is one simulated process: it can be killed, started again, frozen and thawed.
 type process struct {
-	w      *world
-	name   string
-	zone   string
-	life   int // raised at each start and each end
-	up     bool
-	frozen bool
-	speed  float64       // of its monotonic clock
-	leftAt time.Duration // when the machine list said that it leaves; 0 when it does not
-	wokeAt time.Duration // when it last went on after a freeze
-	// suspendedAt is when its machine was suspended, or 0; lost is how long it was in this life. Timers stand still meanwhile.
-	suspendedAt, lost time.Duration
-	backlog           []func()     // what arrived while it was frozen
-	open              []connection // connections that break when it dies
+	w             *world
+	name          string
+	zone          string
+	generation    int // raised at each start and each end
+	up            bool
+	frozen        bool
+	speed         float64       // of its monotonic clock
+	drainingSince time.Duration // when the machine list said that it leaves; 0 when it does not
+	resumedAt     time.Duration // when it last went on after a freeze
+	// suspendedAt is when its machine was suspended, or 0; suspendedFor is how long it was in this life. Timers stand still meanwhile.
+	suspendedAt, suspendedFor time.Duration
+	backlog                   []func()     // what arrived while it was frozen
+	connections               []connection // connections that break when it dies
 }
 
 // clockSkew is how much faster or slower than true time a process's monotonic clock may run.
@@ -29,20 +29,20 @@
 
 // elapsed returns what the process's clock shows between two true times.
 func (p *process) elapsed(from, to time.Duration) time.Duration {
-	return time.Duration(float64(to-from-p.uncounted()) * p.speed)
+	return time.Duration(float64(to-from-p.uncountedTime()) * p.speed)
 }
 
-// uncounted returns how much of this life the clock doesn't count.
-func (p *process) uncounted() time.Duration {
+// uncountedTime returns how much of this life the clock doesn't count.
+func (p *process) uncountedTime() time.Duration {
 	if p.w.guards.On(guard.SuspendAwareClock) {
 		return 0
 	}
-	return p.lost
+	return p.suspendedFor
 }
 
 // trueTime returns when the process's clock, started at a true time, shows a reading.
 func (p *process) trueTime(start, reading time.Duration) time.Duration {
-	return start + p.uncounted() + time.Duration(float64(reading)/p.speed)
+	return start + p.uncountedTime() + time.Duration(float64(reading)/p.speed)
 }
 
 func newProcess(w *world, name, zone string) *process {
@@ -51,9 +51,9 @@
 
 // start begins a new life.
 func (p *process) start() {
-	p.life++
+	p.generation++
 	p.up, p.frozen = true, false
-	p.suspendedAt, p.lost = 0, 0
+	p.suspendedAt, p.suspendedFor = 0, 0
 }
 
 // kill ends the life. A silent death breaks connections late, as when a machine loses its power.
@@ -61,15 +61,15 @@
 	if !p.up {
 		return
 	}
-	p.life++
+	p.generation++
 	p.up, p.frozen = false, false
 	p.backlog = nil
-	broken := p.open
-	p.open = nil
+	broken := p.connections
+	p.connections = nil
 	p.w.logf("%s dies, silently=%v", p.name, silent)
 	soonest, latest := time.Millisecond, 3*time.Millisecond
 	if silent {
-		soonest, latest = keepAliveMin, keepAliveMax
+		soonest, latest = minKeepAliveTimeout, maxKeepAliveTimeout
 	}
 	for _, held := range broken {
 		p.w.after(p.w.between(soonest, latest), held.reset)
@@ -78,8 +78,8 @@
 
 // A silent death is noticed by keep-alive only.
 const (
-	keepAliveMin = 10 * time.Second
-	keepAliveMax = 15 * time.Second
+	minKeepAliveTimeout = 10 * time.Second
+	maxKeepAliveTimeout = 15 * time.Second
 )
 
 // node is a process that can be started again.
@@ -105,15 +105,15 @@
 	ended() bool
 }
 
-// connectionsSwept is the number of connections from which ended ones are dropped.
-const connectionsSwept = 256
+// maxTrackedConnections is the number of connections from which ended ones are dropped.
+const maxTrackedConnections = 256
 
-// connect notes a connection to the process.
-func (p *process) connect(fresh connection) {
-	if len(p.open) >= connectionsSwept {
-		p.open = slices.DeleteFunc(p.open, connection.ended)
+// trackConnection notes a connection to the process.
+func (p *process) trackConnection(fresh connection) {
+	if len(p.connections) >= maxTrackedConnections {
+		p.connections = slices.DeleteFunc(p.connections, connection.ended)
 	}
-	p.open = append(p.open, fresh)
+	p.connections = append(p.connections, fresh)
 }
 
 // freeze stops the process; what arrives waits.
@@ -124,20 +124,20 @@
 	}
 }
 
-// thaw lets the process go on with what has arrived, in order.
-func (p *process) thaw() {
+// resume lets the process go on with what has arrived, in order.
+func (p *process) resume() {
 	if !p.up || !p.frozen {
 		return
 	}
-	p.frozen, p.wokeAt = false, p.w.now()
+	p.frozen, p.resumedAt = false, p.w.now()
 	if p.suspendedAt > 0 {
-		p.lost += p.w.now() - p.suspendedAt
+		p.suspendedFor += p.w.now() - p.suspendedAt
 		p.suspendedAt = 0
 	}
 	p.w.logf("%s thaws with %d things waiting", p.name, len(p.backlog))
 	waiting := p.backlog
 	p.backlog = nil
-	life := p.life
+	life := p.generation
 	for _, run := range waiting {
 		p.run(life, run)
 	}
@@ -146,7 +146,7 @@
 // run does something within a life: now, or when the process thaws. It is dropped when the life has ended.
 func (p *process) run(life int, do func()) {
 	switch {
-	case !p.up || p.life != life:
+	case !p.up || p.generation != life:
 	case p.frozen:
 		p.backlog = append(p.backlog, func() { p.run(life, do) })
 	default:
@@ -156,10 +156,10 @@
 
 // after sets a timer of the process's current life. It stands still while the machine is suspended.
 func (p *process) after(delay time.Duration, do func()) {
-	life, lost, armed := p.life, p.lost, p.w.now()
+	life, lost, armed := p.generation, p.suspendedFor, p.w.now()
 	p.w.after(delay, func() {
 		p.run(life, func() {
-			if left := delay - (p.w.now() - armed - (p.lost - lost)); left > 0 {
+			if left := delay - (p.w.now() - armed - (p.suspendedFor - lost)); left > 0 {
 				p.after(left, do)
 				return
 			}
@@ -175,20 +175,20 @@
 	}
 	p.freeze()
 	p.suspendedAt = p.w.now()
-	life := p.life
+	life := p.generation
 	p.w.after(length, func() {
-		if p.life == life {
-			p.thaw()
+		if p.generation == life {
+			p.resume()
 		}
 	})
 }
 
 // ticker repeats something for the rest of the life.
-func (p *process) ticker(period time.Duration, do func()) {
+func (p *process) ticker(interval time.Duration, do func()) {
 	var tick func()
 	tick = func() {
 		do()
-		p.after(period, tick)
+		p.after(interval, tick)
 	}
-	p.after(p.w.between(0, period), tick)
+	p.after(p.w.between(0, interval), tick)
 }
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -55,7 +55,7 @@
 	r.nextID = 0
 	r.asker = newAsker(r.w, r.process)
 	r.core = core.New(core.Config{
-		Router: r.name, Zone: r.zone, Seed: r.w.random.Uint64(), BlockTokens: blockToken, IndexLimit: 2000,
+		Router: r.name, Zone: r.zone, Seed: r.w.random.Uint64(), BlockTokens: tokensPerBlock, IndexLimit: 2000,
 		ZoneLatency: map[string]time.Duration{}, ImportRate: 4000, Guards: r.w.guards,
 	})
 	held := session.Settings{}
@@ -144,7 +144,7 @@
 func (r *routerNode) readList() {
 	asked := r.clock()
 	r.w.call(r.process, r.w.platform.process, time.Second, func(respond func(func())) {
-		machines := r.w.platform.list()
+		machines := r.w.platform.currentMachines()
 		respond(func() { r.post(core.EventMachineList{RequestedAt: asked, Machines: machines}) })
 	}, func(bool) {})
 }
@@ -209,7 +209,7 @@
 
 func (r *routerNode) claim(action core.ActionClaim) {
 	claim := action.Claim
-	r.w.mischief.claimBegins(r)
+	r.w.mischief.onClaim(r)
 	newAsker(r.w, r.process).ask(control.Request{Claim: &claim}, r.w.now()+claimPatience, func(response control.Response, decided bool) {
 		event := core.EventClaim{ID: action.ID, ClaimID: claim.ClaimID, Failed: !decided || response.Claim == nil}
 		if !event.Failed {
@@ -236,24 +236,24 @@
 func (r *routerNode) sendToEngine(e *engineNode, run *exchange, action core.ActionDispatch) {
 	s := &sending{engine: e, request: run, attempt: action.Attempt, router: r, stream: r.w.newStream(e.process, r.process)}
 	r.sendings[action.Attempt] = s
-	r.w.oracle.sends(pairOf(r.process, e.lifeName()))
-	r.w.oracle.sendsLimited(pairOf(r.process, e.lifeName()), e.need)
+	r.w.oracle.checkSend(pairOf(r.process, e.lifeName()))
+	r.w.oracle.checkLimitedSend(pairOf(r.process, e.lifeName()), e.advertised)
 	r.w.call(r.process, e.process, serviceLimit, func(respond func(func())) {
 		life := e.lives // that speaks, whichever was meant
-		if rest := e.shed.sheds(e.w.now()); rest > 0 {
+		if rest := e.shed.requestedBackoff(e.w.now()); rest > 0 {
 			asker := pairOf(r.process, e.lifeName())
 			respond(func() {
 				said := pushback.Signals{Backoff: rest}
-				r.w.oracle.heard(asker, said)
+				r.w.oracle.recordSignals(asker, said)
 				r.refused(s, action, life, said)
 			})
 			return
 		}
 		result := e.submit(action, s)
-		inNeed, limit, asker := e.need, e.need.limit(e.w.now()), pairOf(r.process, e.lifeName())
+		inNeed, limit, asker := e.advertised, e.advertised.limit(e.w.now()), pairOf(r.process, e.lifeName())
 		respond(func() {
 			if limit.Advertised {
-				r.w.oracle.heardLimit(asker, inNeed)
+				r.w.oracle.recordLimit(asker, inNeed)
 				r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: pushback.Signals{Limit: limit}})
 			}
 			switch result {
@@ -302,7 +302,7 @@
 	}
 	delete(r.sendings, attempt)
 	s.over = true
-	origin := fmt.Sprintf("%s#%d", r.name, r.life)
+	origin := fmt.Sprintf("%s#%d", r.name, r.generation)
 	r.w.message(r.process, s.engine.process, func() {
 		s.engine.model.Cancel(origin, attempt)
 		s.engine.advance()
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -49,7 +49,7 @@
 	}
 	w.clock.Set(RunLength)
 	w.oracle.checkRest()
-	w.oracle.checkFleetRest()
+	w.oracle.checkFleetSettled()
 	return Result{
 		Seed: w.seed, Violation: w.oracle.violation, Faults: w.faults, Requests: w.oracle.requests,
 		Complete: w.oracle.complete, Changes: w.oracle.changes, Accepted: w.oracle.accepted,
@@ -68,11 +68,11 @@
 // newWorldOf makes a world with so many gateways. In every other one, and with more than usual, replicas answer them for the leader.
 func newWorldOf(gateways int, seed uint64, guards guard.Set, trace io.Writer) *world {
 	w := &world{seed: seed, random: rand.New(rand.NewPCG(seed, seedStream)), guards: guards, trace: trace, gatewayCount: gateways}
-	w.relayed = seed%2 == 0 || gateways > fleetGateways
-	w.tellsLives = seed/2%2 == 0
-	w.network.cut = map[[2]string]int{}
+	w.relaysWatches = seed%2 == 0 || gateways > fleetGateways
+	w.reportsStartTime = seed/2%2 == 0
+	w.network.partitioned = map[[2]string]int{}
 	w.oracle = newOracle(w)
-	w.hasher = prefix.NewHasher([prefix.KeyBytes]byte{1}, blockToken, guards)
+	w.hasher = prefix.NewHasher([prefix.KeyBytes]byte{1}, tokensPerBlock, guards)
 	w.makeNodes()
 	w.platform.boot()
 	for _, e := range w.engines {
@@ -92,7 +92,7 @@
 		o.boot(i == 0)
 	}
 	w.planFaults()
-	w.planNeeds()
+	w.planAdvertisedLimits()
 	return w
 }
 
@@ -125,27 +125,27 @@
 // healAll ends every fault.
 func (w *world) healAll() {
 	w.logf("all faults heal")
-	w.network.cut = map[[2]string]int{}
-	w.network.badUntil = 0
-	w.onAccept, w.onNamed = nil, nil
-	w.mischief = mischief{}
+	w.network.partitioned = map[[2]string]int{}
+	w.network.degradedUntil = 0
+	w.onAccept, w.onPublished = nil, nil
+	w.mischief = pendingFaults{}
 	w.platform.omitted = map[string]bool{}
 	for _, n := range w.controls {
-		n.thaw()
+		n.resume()
 		w.restartControl(n, 0)
 	}
 	w.healFleet()
 	for _, r := range w.routers {
-		r.thaw()
+		r.resume()
 		w.restart(r, 0)
 	}
 	for _, e := range w.engines {
-		e.thaw()
-		e.leftAt = 0
+		e.resume()
+		e.drainingSince = 0
 		w.restart(e, 0)
 	}
 	for _, s := range w.services {
-		s.leftAt = 0
+		s.drainingSince = 0
 		w.restart(s, 0)
 	}
 }
