--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -11,7 +11,7 @@
 	"kitetiller/internal/pushback"
 )
 
-// engineNode is an engine model at an address of its own name.
+// engineNode is an emulated engine. Its address equals its name.
 type engineNode struct {
 	run         *run
 	name        string
@@ -22,11 +22,11 @@
 	alarm       vtime.Alarm
 	seed        uint64
 
-	inFlightTokens            int // prompt tokens sent, not arrived yet
-	inFlightInteractiveTokens int // the same for the interactive lane
+	inFlightTokens            int // uncached prompt tokens of requests that are still on the network
+	inFlightInteractiveTokens int // those of the interactive lane
 }
 
-// attempt joins a job to the router and the request it belongs to.
+// attempt is one dispatch of a request to an engine.
 type attempt struct {
 	router    *routerNode
 	request   *pending
@@ -44,7 +44,7 @@
 	e.alarm = vtime.Alarm{}
 }
 
-// crash ends the life; whoever waits for a stream sees its connection break.
+// crash stops the engine and breaks the connections of its running attempts.
 func (e *engineNode) crash() {
 	e.down = true
 	for _, router := range e.run.routers {
@@ -52,7 +52,7 @@
 	}
 }
 
-// pendingTokens is the true prefill before a new request of a lane, what is under way included.
+// pendingTokens returns the prefill tokens ahead of a new request of a lane, including requests still on the network.
 func (e *engineNode) pendingTokens(lane core.Lane) int {
 	e.advance()
 	load := e.model.CurrentLoad()
@@ -69,10 +69,10 @@
 	}
 }
 
-// queueFullBackoff is how long an engine that is full wants nothing.
+// queueFullBackoff is the backoff that an engine with a full queue asks for.
 const queueFullBackoff = 100 * time.Millisecond
 
-// submit takes a job when it has come over the network.
+// submit handles a request that has arrived at the engine.
 func (e *engineNode) submit(action core.ActionDispatch, s *attempt) {
 	e.adjustInFlight(s, -1)
 	if s.cancelled {
@@ -100,7 +100,7 @@
 	e.advance()
 }
 
-// advance runs the model up to now and sends what it produced.
+// advance runs the model up to now and sends its output to the routers.
 func (e *engineNode) advance() {
 	if e.down {
 		return
@@ -137,7 +137,8 @@
 	s.router.reply(e, s, event)
 }
 
-// longestCachedPrefix returns who holds the longest prefix of a chain, engine or vault.
+// longestCachedPrefix returns the engine, or the vault, that has the longest prefix of a chain cached, and its length in
+// blocks.
 func (r *run) longestCachedPrefix(chain []prefix.Hash) (string, int) {
 	source, longest := "", 0
 	for _, e := range r.engines {
@@ -151,7 +152,7 @@
 	return source, longest
 }
 
-// exportablePrefix tells how much of a chain a source can give.
+// exportablePrefix returns how many leading blocks of a chain a source can transfer.
 func (r *run) exportablePrefix(source string, chain []prefix.Hash) int {
 	if source == vaultName {
 		return r.vault.cachedPrefix(chain)
