--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -13,40 +13,40 @@
 	"kitetiller/internal/admission"
 )
 
-// A stand-in of an engine fleet under overload: engines that serve one request after the other, deciders that know queues a
-// moment late, callers with an objective and a deadline that come back when they are told to. It shows what refusing in time is
-// worth; how well a router places is measured elsewhere.
+// Model of an engine fleet under overload. Engines serve one request at a time, admission sees delayed queue state, and
+// callers with a latency objective and a deadline retry when told to. The model measures the effect of early rejection
+// on goodput, not the quality of placement.
 const (
 	goodputEngines     = 30
 	goodputServiceTime = 120 * time.Millisecond // mean, exponential
-	goodputStaleness   = 40 * time.Millisecond  // by which deciders know queues late: twice what gateways take to tell each other
+	goodputStaleness   = 40 * time.Millisecond  // age of the queue state that admission sees: twice the delay of updates between gateways
 	goodputObjective   = 800 * time.Millisecond
 	goodputDeadline    = 5 * time.Second
 	goodputDuration    = 40 * time.Second
-	goodputCandidates  = 4 // engines that are looked at for a request
-	goodputMaxRetries  = 2 // times that a caller comes back
+	goodputCandidates  = 4 // random engines compared for a request
+	goodputMaxRetries  = 2 // of a caller
 )
 
-// GoodputPoint is what callers got at one load.
+// GoodputPoint holds the outcomes at one load. Counts are fractions of what the engines can serve.
 type GoodputPoint struct {
-	Load              float64 `json:"load"` // arrivals against what the engines can serve
+	Load              float64 `json:"load"` // arrival rate divided by the engines' capacity
 	Refusal           bool    `json:"refusal"`
-	InTime            float64 `json:"in_time"` // answers within the objective, from the caller's newest try, as a share of what the engines can serve
+	InTime            float64 `json:"in_time"` // responses within the objective, measured from the caller's last attempt
 	Late              float64 `json:"late"`
-	Refused           float64 `json:"refused"` // callers that ended so
-	Lost              float64 `json:"lost"`    // callers that reached their deadline
-	MeanTimeToOutcome float64 `json:"word_ms"` // mean time until callers knew how it ended
+	Refused           float64 `json:"refused"` // callers whose last attempt was rejected
+	Lost              float64 `json:"lost"`    // callers whose deadline passed
+	MeanTimeToOutcome float64 `json:"word_ms"` // mean time from the first attempt to the outcome
 }
 
-// GoodputLoads are the loads of the curve.
+// GoodputLoads lists the loads of the curve.
 var GoodputLoads = []float64{0.5, 0.75, 0.9, 1, 1.25, 1.5, 2, 2.5, 3}
 
-// Goodput plays one load, with or without refusing in time.
+// Goodput simulates one load, with or without early rejection.
 func Goodput(load float64, refusal bool, seed uint64) GoodputPoint {
 	f := &goodputFleet{random: rand.New(rand.NewPCG(seed, seed)), refusal: refusal, freeAt: make([]time.Duration, goodputEngines)}
 	f.knownFreeAt = make([]time.Duration, goodputEngines)
 	f.point = GoodputPoint{Load: load, Refusal: refusal}
-	capacity := float64(goodputEngines) / goodputServiceTime.Seconds() // a second, by all engines
+	capacity := float64(goodputEngines) / goodputServiceTime.Seconds() // requests per second of all engines
 	for at := time.Duration(0); at < goodputDuration; {
 		at += time.Duration(f.random.ExpFloat64() / (load * capacity) * float64(time.Second))
 		heap.Push(&f.attempts, goodputAttempt{at: at, first: at, key: fmt.Sprint(len(f.attempts), at)})
@@ -62,14 +62,14 @@
 	}
 }
 
-// goodputAttempt is a caller's try.
+// goodputAttempt is one attempt of a caller.
 type goodputAttempt struct {
-	at, first time.Duration // of this try, and of the first one
+	at, first time.Duration // time of this attempt and of the caller's first one
 	key       string
 	retries   int
 }
 
-// goodputQueue is a heap by time.
+// goodputQueue is a heap ordered by time.
 type goodputQueue []goodputAttempt
 
 func (c goodputQueue) Len() int           { return len(c) }
@@ -85,8 +85,8 @@
 type goodputFleet struct {
 	random             *rand.Rand
 	refusal            bool
-	freeAt             []time.Duration // by engine
-	knownFreeAt        []time.Duration // freeAt as deciders know it
+	freeAt             []time.Duration // by engine: when its queue is empty
+	knownFreeAt        []time.Duration // freeAt as admission sees it
 	knownAt            time.Duration
 	admission          admission.Controller
 	attempts           goodputQueue
@@ -94,7 +94,7 @@
 	totalTimeToOutcome time.Duration
 }
 
-// place places one try, or turns it away.
+// place sends an attempt to an engine, or rejects it.
 func (f *goodputFleet) place(c goodputAttempt) {
 	if c.at >= f.knownAt+goodputStaleness {
 		copy(f.knownFreeAt, f.freeAt)
@@ -115,7 +115,7 @@
 	f.serve(c, engine, predicted)
 }
 
-// reject lets a caller come back, unless it has no time left for that.
+// reject schedules the caller's retry, unless its retries or its time are used up.
 func (f *goodputFleet) reject(c goodputAttempt, retryAfter time.Duration) {
 	const maxWaitDivisor = 3 // callers wait for a third of the time that they have remaining, at most
 	remaining := c.first + goodputDeadline - c.at
@@ -127,7 +127,7 @@
 	heap.Push(&f.attempts, goodputAttempt{at: c.at + min(retryAfter, remaining/maxWaitDivisor), first: c.first, key: c.key, retries: c.retries + 1})
 }
 
-// serve runs a try on an engine; work on one whose caller leaves meanwhile is lost.
+// serve runs an attempt on an engine. Work on it is wasted if the caller's deadline passes first.
 func (f *goodputFleet) serve(c goodputAttempt, engine int, predicted time.Duration) {
 	start := max(f.freeAt[engine], c.at)
 	deadline := c.first + goodputDeadline
@@ -151,7 +151,7 @@
 	}
 }
 
-// GoodputCurve plays all loads with and without refusing in time.
+// GoodputCurve simulates all loads, with and without early rejection.
 func GoodputCurve(seed uint64) []GoodputPoint {
 	var points []GoodputPoint
 	for _, refusal := range []bool{false, true} {
