--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -20,36 +20,36 @@
 	Deployment           string  `json:"deployment"`
 	Policy               Policy  `json:"policy"`
 	Seed                 uint64  `json:"seed"`
-	PrefixHitRate        float64 `json:"prefix_hit_rate"` // prompt tokens reused or copied, of all prompt tokens
+	PrefixHitRate        float64 `json:"prefix_hit_rate"` // fraction of prompt tokens reused from a cache or imported
 	CopiedShare          float64 `json:"copied_token_share"`
 	TTFTP50              float64 `json:"ttft_p50_ms"`
 	TTFTP99              float64 `json:"ttft_p99_ms"`
 	InteractiveTTFTP99   float64 `json:"interactive_ttft_p99_ms"`
-	RecomputedTokenShare float64 `json:"recomputed_token_share"`          // prompt tokens computed though some engine had computed them before
-	RecomputedElsewhere  float64 `json:"recomputed_held_elsewhere_share"` // of them, those that another live engine held
+	RecomputedTokenShare float64 `json:"recomputed_token_share"`          // fraction of prompt tokens that some engine had computed before
+	RecomputedElsewhere  float64 `json:"recomputed_held_elsewhere_share"` // part of it that another live engine had cached
 	RefusedShare         float64 `json:"refused_share"`
 	Completed            int     `json:"completed"`
-	Goodput              float64 `json:"goodput_per_s"`    // answers whose first token came within their deadline
-	CrashRecovery        float64 `json:"crash_recovery_s"` // until the hit rate was back at 90% of what it was; -1: not within the run
+	Goodput              float64 `json:"goodput_per_s"`    // requests whose first token came within the deadline
+	CrashRecovery        float64 `json:"crash_recovery_s"` // until the hit rate is back at 90% of its level before the crash; -1: not within the run
 	ShiftRecovery        float64 `json:"shift_recovery_s"`
-	Scale                float64 `json:"scale"` // of the deployment's request rate
+	Scale                float64 `json:"scale"` // factor on the deployment's request rate
 
-	hitSeries  []float64 // hit rate by second
+	hitSeries  []float64 // hit rate of each second
 	firstToken *hdrhistogram.Histogram
-	byCause    [causeCount]float64 // recomputed tokens, by why
+	byCause    [causeCount]float64 // recomputed tokens
 }
 
-// cause is why tokens were computed again.
+// cause is why tokens were recomputed.
 type cause int
 
-// Causes, from what the engines held when the job began.
+// Causes, by the contents of the caches when the job started.
 const (
-	causeElsewhere cause = iota // another live engine held them
-	causeEvicted                // nobody held them any more
+	causeElsewhere cause = iota // another live engine or the vault had them cached
+	causeEvicted                // no cache had them any more
 	causeCount
 )
 
-// measure collects what a run shows. Requests sent before the warm-up ends are not counted.
+// measure collects the results of a run. Requests sent before the warm-up ends are not counted.
 type measure struct {
 	run            *run
 	prompt         int
@@ -75,7 +75,7 @@
 	}
 }
 
-// started counts reuse when an engine begins a job.
+// started records cached, imported and recomputed tokens when an engine starts a job.
 func (m *measure) started(now time.Duration, s *attempt, output engine.Output) {
 	recomputed, elsewhere := 0, 0
 	chain := output.Job.Blocks
@@ -113,7 +113,7 @@
 		return
 	}
 	ttft := now - request.sentAt
-	_ = m.all.RecordValue(ttft.Microseconds()) // the range covers the whole run
+	_ = m.all.RecordValue(ttft.Microseconds()) // the histogram's range covers the whole run
 	deadline := m.run.deployment.Traffic.LongDeadline
 	if request.prompt.Short {
 		_ = m.interactive.RecordValue(ttft.Microseconds())
@@ -146,7 +146,6 @@
 	return float64(h.ValueAtQuantile(quantile)) / 1000
 }
 
-// row returns the result.
 func (m *measure) row() Row {
 	row := Row{
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
@@ -168,12 +167,12 @@
 }
 
 const (
-	recoveryWindow    = 8   // seconds before an event from which the former level is taken
-	recoverySmoothing = 3   // seconds over which the level is smoothed
-	recoveredShare    = 0.9 // of the former level
+	recoveryWindow    = 8   // seconds before an event over which the baseline is taken
+	recoverySmoothing = 3   // seconds over which the hit rate is averaged
+	recoveredShare    = 0.9 // of the baseline
 )
 
-// recovery returns the seconds from an event until the hit rate is back.
+// recovery returns the seconds from an event until the hit rate has recovered, or -1.
 func (m *measure) recovery(at time.Duration) float64 {
 	second := int(at / time.Second)
 	baseline := m.hitRate(second-recoveryWindow, second)
@@ -192,7 +191,7 @@
 	return -1
 }
 
-// hitRate is the hit rate over seconds from first to before last.
+// hitRate returns the hit rate over the seconds from first up to, but not including, last.
 func (m *measure) hitRate(first, last int) float64 {
 	hit, prompt := 0, 0
 	for second := max(0, first); second < min(last, len(m.hitBySecond)); second++ {
