--- a/internal/lab/bench/plots.go
+++ b/internal/lab/bench/plots.go
@@ -17,8 +17,8 @@
 	smoothSeconds = 3
 )
 
-// Plot draws the distribution of the time to first token, the hit rate over time, and the recomputed tokens by
-// cause.
+// Plot writes plots of the distribution of the time to first token, the hit rate over time, and the recomputed tokens
+// by cause.
 func Plot(folder, deployment string, rows []Row, options Options) error {
 	if err := plotDistribution(folder, deployment, rows); err != nil {
 		return err
@@ -43,7 +43,7 @@
 	return eris.Wrapf(p.Save(plotWidth, plotHeight, filepath.Join(folder, name)), "draw %s", name)
 }
 
-// addLine draws a line in the colour of its place in the legend.
+// addLine adds a line. Its colour and dashes follow from index.
 func addLine(p *plot.Plot, index int, name string, points plotter.XYs) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return save(p, folder, "ttft.png")
 }
 
-// distribution returns the mean over seeds of each quantile.
+// distribution returns each quantile of the time to first token, averaged over seeds.
 func distribution(rows []Row) plotter.XYs {
 	var points plotter.XYs
 	if len(rows) == 0 {
