--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -1,5 +1,5 @@
-// Package bench compares routing policies in virtual time: the router's core, with the policy under test as its
-// placer, drives engine models with a deployment's sizes and traffic. All policies get the same requests.
+// Package bench compares routing policies in virtual time. The router's core, with the policy under test as its placer,
+// drives emulated engines with the sizes and traffic of a deployment. All policies get the same requests.
 package bench
 
 import (
@@ -12,10 +12,10 @@
 	"kitetiller/internal/core"
 )
 
-// Policy names a way to choose an engine.
+// Policy is the name of a routing policy.
 type Policy string
 
-// Policies compared, the baselines first.
+// Policies under comparison, baselines first.
 const (
 	Random            Policy = "random"
 	RoundRobin        Policy = "round-robin"
@@ -26,13 +26,13 @@
 	Clairvoyant       Policy = "clairvoyant"
 )
 
-// Policies lists every policy in the order of reports.
+// Policies returns all policies in the order of the reports.
 func Policies() []Policy {
 	return []Policy{Random, RoundRobin, LeastLoaded, PrefixHash, BoundedPrefixHash, Kitetiller, Clairvoyant}
 }
 
 const (
-	// maxLoadFactor is the factor over the mean load at which bounded prefix hashing goes on to the next engine.
+	// maxLoadFactor is the multiple of the mean load from which bounded prefix hashing skips an engine.
 	maxLoadFactor = 1.25
 )
 
@@ -55,15 +55,15 @@
 	return core.CostPlacer{}
 }
 
-// noImports is embedded by the baselines, which move no cached blocks.
+// noImports is embedded by the baselines, which import no cached blocks.
 type noImports struct{}
 
-// AllowsImport is false: baselines move no cached blocks.
+// AllowsImport returns false.
 func (noImports) AllowsImport() bool { return false }
 
 type randomPlacer struct{ noImports }
 
-// Pick returns any candidate.
+// Pick returns a random candidate.
 func (randomPlacer) Pick(context core.PlacementContext, candidates []core.Candidate) int {
 	return context.Random.IntN(len(candidates))
 }
@@ -73,7 +73,7 @@
 	last int
 }
 
-// Pick returns the candidate after the last one, in order of engine rows.
+// Pick returns the candidate after the last chosen one, by engine ID.
 func (p *roundRobinPlacer) Pick(_ core.PlacementContext, candidates []core.Candidate) int {
 	best := -1
 	for i := range candidates {
@@ -101,15 +101,15 @@
 	return best
 }
 
-// prefixHashPlacer places by rendezvous hashing of the prompt's root; with a bound it passes over engines that
-// have much more than the mean load.
+// prefixHashPlacer places by rendezvous hashing of the prompt's first blocks. With limitLoad set it skips engines whose
+// load is far above the mean.
 type prefixHashPlacer struct {
 	noImports
 	depth     int // blocks of the prompt that are hashed
 	limitLoad bool
 }
 
-// Pick returns the candidate with the highest hash that the bound allows.
+// Pick returns the candidate with the highest hash among those within the load limit.
 func (p prefixHashPlacer) Pick(context core.PlacementContext, candidates []core.Candidate) int {
 	order := make([]int, len(candidates))
 	weights := make([]uint64, len(candidates))
@@ -146,16 +146,17 @@
 	_, _ = digest.WriteString(name)
 	var sum [8]byte
 	binary.LittleEndian.PutUint64(sum[:], digest.Sum64())
-	return xxhash.Sum64(sum[:]) // mixed once more: the names differ in their last digits only
+	return xxhash.Sum64(sum[:]) // hashed again because the names differ only in their last digits
 }
 
-// clairvoyantPlacer knows every cache and every queue exactly, and chooses by the same cost as the router.
+// clairvoyantPlacer knows the exact state of every cache and queue and uses the router's cost function. It shows how
+// much better state would help.
 type clairvoyantPlacer struct{ run *run }
 
-// AllowsImport is true: the bound may move cached blocks too.
+// AllowsImport returns true, as for the router.
 func (clairvoyantPlacer) AllowsImport() bool { return true }
 
-// Pick corrects every candidate by what is true and returns the cheapest.
+// Pick replaces the estimates of each candidate by the true state and returns the cheapest.
 func (p clairvoyantPlacer) Pick(context core.PlacementContext, candidates []core.Candidate) int {
 	chain := context.Request.Chains[0].Blocks
 	best := -1
