--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -13,7 +13,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Compare runs every policy over seeds, several at once, and returns the rows by policy, then seed.
+// Compare runs every policy with every seed, in parallel, and returns the rows ordered by policy, then seed.
 func Compare(options Options, policies []Policy, firstSeed uint64, seeds int) []Row {
 	rows := make([]Row, len(policies)*seeds)
 	workers := make(chan struct{}, runtime.NumCPU())
@@ -29,14 +29,14 @@
 	return rows
 }
 
-// Summary is a policy's mean over seeds.
+// Summary holds a policy's results over all seeds.
 type Summary struct {
 	Policy Policy
 	Mean   Row
-	Spread map[string]float64 // standard deviation over seeds by column
+	Spread map[string]float64 // standard deviation over seeds, by column name
 }
 
-// column is one measured figure.
+// column is a column of the result table.
 type column struct {
 	name  string
 	value func(*Row) *float64
@@ -56,7 +56,7 @@
 	{"shift recovery s", func(r *Row) *float64 { return &r.ShiftRecovery }},
 }
 
-// Summarise returns the mean and spread of each policy.
+// Summarise returns the mean and standard deviation of each policy.
 func Summarise(rows []Row) []Summary {
 	var summaries []Summary
 	for _, policy := range Policies() {
@@ -90,7 +90,7 @@
 	return summary
 }
 
-// Markdown returns a table of means and spreads.
+// Markdown returns a table of means and standard deviations.
 func Markdown(title string, summaries []Summary) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "## %s\n\n| policy |", title)
@@ -108,7 +108,7 @@
 	return text.String()
 }
 
-// formatValue prints three significant digits.
+// formatValue formats a number with about three significant digits.
 func formatValue(value float64) string {
 	switch size := math.Abs(value); {
 	case size >= 100:
@@ -121,7 +121,7 @@
 	return fmt.Sprintf("%.4f", value)
 }
 
-// WriteJSON writes a value into a folder.
+// WriteJSON writes a value as JSON to a file in a folder.
 func WriteJSON(folder, name string, value any) error {
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
@@ -130,12 +130,12 @@
 	return writeFile(folder, name, data)
 }
 
-// WriteText writes a text into a folder.
+// WriteText writes text to a file in a folder.
 func WriteText(folder, name, text string) error { return writeFile(folder, name, []byte(text)) }
 
 func writeFile(folder, name string, data []byte) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return eris.Wrapf(err, "make folder %s", folder)
+		return eris.Wrapf(err, "create folder %s", folder)
 	}
 	return eris.Wrapf(os.WriteFile(filepath.Join(folder, name), data, 0o644), "write %s", name)
 }
