--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	localLatency = 200 * time.Microsecond // one way within a zone
+	localLatency = 200 * time.Microsecond // one way, within a zone
 	pollInterval = 100 * time.Millisecond
 	indexLimit   = 200_000
-	// announceDelay is how long a send waits to be told to the other routers together with others.
+	// announceDelay is how long dispatches are collected before they are announced to the other routers in one batch.
 	announceDelay = 20 * time.Millisecond
 )
 
-// routerNode is one zone's router.
+// routerNode is the router of a zone.
 type routerNode struct {
 	run           *run
 	zone          string
@@ -31,18 +31,18 @@
 	announcements []announcement
 }
 
-// announcement is an announcement and when it became true.
+// announcement is a dispatch to announce to the other routers, and its time.
 type announcement struct {
 	send core.PeerDispatch
 	at   time.Duration
 }
 
-// pending is a request that has no final answer yet.
+// pending is an unfinished request.
 type pending struct {
 	request        core.Request
 	prompt         traffic.Prompt
 	sentAt         time.Duration
-	firstTokenSeen bool // the first token has come
+	firstTokenSeen bool
 	vaultBlocks    blockList
 }
 
@@ -82,7 +82,7 @@
 	return n.run.deployment.ZoneLatency
 }
 
-// tick passes events to the core and carries out what it decides.
+// tick passes events to the core and performs the actions it returns.
 func (n *routerNode) tick(events ...core.Event) {
 	now := n.run.clock.Now()
 	for _, action := range n.core.Tick(now, events) {
@@ -108,14 +108,14 @@
 	n.run.clock.After(pollInterval, func() { n.poll(e, cursor) })
 }
 
-// handlePrompt takes a caller's prompt.
+// handlePrompt turns a caller's prompt into a request.
 func (n *routerNode) handlePrompt(prompt traffic.Prompt, sentAt time.Duration) {
 	n.nextID++
 	request := core.Request{
 		ID: n.nextID, Tenant: prompt.Tenant, Service: n.run.service, PromptTokens: tokensOf(prompt.Text), MaxTokens: prompt.MaxTokens,
 		Chains: []core.Chain{{Weights: weights, Blocks: n.run.hasher.Chain(prompt.Tenant, weights, []byte(prompt.Text))}},
 	}
-	if prompt.Short { // the users' quick questions ask for the interactive lane
+	if prompt.Short { // short prompts ask for the interactive lane
 		request.Lane, request.LaneFixed = core.LaneInteractive, true
 	}
 	n.pending[request.ID] = &pending{request: request, prompt: prompt, sentAt: sentAt}
@@ -151,7 +151,7 @@
 	n.run.clock.After(n.latency(e), func() { e.submit(action, s) })
 }
 
-// reply sends an event of an attempt back to the router.
+// reply delivers an event of an attempt to the router, unless the attempt was cancelled.
 func (n *routerNode) reply(e *engineNode, s *attempt, event core.EventAttempt) {
 	event.ID, event.Attempt, event.Echo = s.request.request.ID, s.attempt, s.attempt
 	n.run.clock.After(n.latency(e), func() {
@@ -161,7 +161,7 @@
 	})
 }
 
-// sendPushback passes on what an engine says of itself, also where the attempt is over.
+// sendPushback delivers an engine's pushback to the router, even if the attempt was cancelled.
 func (n *routerNode) sendPushback(e *engineNode, event core.EventPushback) {
 	n.run.clock.After(n.latency(e), func() { n.tick(event) })
 }
@@ -186,7 +186,7 @@
 	delete(n.targets, attempt)
 }
 
-// breakAttempts breaks every connection to an engine that crashed.
+// breakAttempts reports a broken connection for every attempt on a crashed engine.
 func (n *routerNode) breakAttempts(e *engineNode) {
 	var broken []core.AttemptID
 	for attempt, target := range n.targets {
@@ -236,7 +236,7 @@
 	n.tick(core.EventVault{Blocks: blocks, Held: true})
 }
 
-// announce tells the other routers of a send, a few at a time.
+// announce queues a dispatch for the next batch to the other routers.
 func (n *routerNode) announce(send core.PeerDispatch) {
 	n.announcements = append(n.announcements, announcement{send: send, at: n.run.clock.Now()})
 	if len(n.announcements) > 1 {
