--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -21,20 +21,20 @@
 
 type blockList = []prefix.Hash
 
-// Options describe an experiment.
+// Options configure a comparison.
 type Options struct {
 	Deployment   *plan.Deployment
 	Tree         settings.Tree
-	Length       time.Duration // requests are sent until then
-	Scale        float64       // of the deployment's request rate
-	InjectFaults bool          // an engine crashes and the hot prefixes shift
-	CrashZone    bool          // all engines of a zone crash instead of one
-	DayLength    time.Duration // demand follows the sun with days of this length; 0 is not
-	BlockTokens  int           // tokens of a block; 0 is 64
-	HashDepth    int           // blocks that the hash policies place by; 0 takes preamble, template and a part of the document
+	Length       time.Duration // how long requests are sent
+	Scale        float64       // factor on the deployment's request rate
+	InjectFaults bool          // crash an engine and shift the hot prefixes
+	CrashZone    bool          // crash all engines of a zone instead of one
+	DayLength    time.Duration // length of the daily cycle of demand; 0 for none
+	BlockTokens  int           // tokens in a cache block; 0 means 64
+	HashDepth    int           // blocks hashed by the hash policies; 0 means preamble, template and the start of the document
 }
 
-// hashedDocumentBlocks is how far into the document the hash policies look. Of the depths tried it served them best.
+// hashedDocumentBlocks is how many blocks of the document the hash policies include by default.
 const hashedDocumentBlocks = 8
 
 func (o Options) hashDepth() int {
@@ -44,7 +44,7 @@
 	return (o.Deployment.Traffic.PreambleTokens+o.Deployment.Traffic.TemplateTokens)/o.blockTokens() + hashedDocumentBlocks
 }
 
-// defaultBlockTokens is the block size of the deployments, in tokens.
+// defaultBlockTokens is the block size that the deployments' cache sizes refer to.
 const defaultBlockTokens = 64
 
 func (o Options) blockTokens() int {
@@ -58,7 +58,7 @@
 func (o Options) crashAt() time.Duration     { return o.Length * 2 / 5 }
 func (o Options) shiftAt() time.Duration     { return o.Length * 7 / 10 }
 
-// run is one policy over one seed.
+// run is the simulation of one policy with one seed.
 type run struct {
 	options    Options
 	deployment *plan.Deployment
@@ -78,7 +78,7 @@
 	traffic    *traffic.Generator
 }
 
-// Run runs one policy over one seed.
+// Run simulates one policy with one seed.
 func Run(options Options, policy Policy, seed uint64) Row {
 	r := &run{
 		options: options, deployment: options.Deployment, policy: policy, seed: seed, tree: options.Tree,
@@ -86,7 +86,7 @@
 		byZone: map[string]*routerNode{}, hasher: prefix.NewHasher([prefix.KeyBytes]byte{1}, options.blockTokens(), guard.Set{}),
 		vault: newVault(options.Deployment.Vault.Blocks), traffic: traffic.New(options.Deployment, seed, options.Scale),
 	}
-	r.rates.CacheBlocks = r.rates.CacheBlocks * defaultBlockTokens / options.blockTokens() // the same memory
+	r.rates.CacheBlocks = r.rates.CacheBlocks * defaultBlockTokens / options.blockTokens() // same memory at any block size
 	r.vault.limit = r.vault.limit * defaultBlockTokens / options.blockTokens()
 	r.measure = newMeasure(r)
 	r.traffic.FollowSun(options.DayLength)
@@ -101,7 +101,7 @@
 	return r.measure.row()
 }
 
-// createNodes lays out engines and routers. The clairvoyant policy has one router that sees everything.
+// createNodes creates engines and routers. The clairvoyant policy has a single router for all zones.
 func (r *run) createNodes() {
 	zones := r.deployment.Zones
 	for i := range r.deployment.Model.Workers {
@@ -124,7 +124,7 @@
 
 func engineName(i int) string { return "engine-" + string(rune('a'+i/10)) + string(rune('0'+i%10)) }
 
-// sendNext passes the next prompt to the router of its zone and plans the one after it.
+// sendNext schedules the next prompt to the router of its zone, and the one after it.
 func (r *run) sendNext() {
 	start := r.clock.Now()
 	prompt := r.traffic.Next()
@@ -142,7 +142,7 @@
 	})
 }
 
-// crash ends one engine, or all of a zone, for a while; they come back empty.
+// crash stops one engine, or all engines of a zone. They restart with empty caches.
 func (r *run) crash() {
 	if !r.options.CrashZone {
 		r.crashEngine(r.engines[int(r.seed)%len(r.engines)])
