--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -8,7 +8,7 @@
 
 const vaultName = "vault"
 
-// vault is the store of kept KV cache: the least recently used blocks give way.
+// vault is a shared store of KV cache blocks with LRU eviction.
 type vault struct {
 	limit   int
 	order   *list.List
@@ -19,7 +19,7 @@
 	return &vault{limit: maxBlocks, order: list.New(), entries: map[prefix.Hash]*list.Element{}}
 }
 
-// cachedPrefix returns how many leading blocks of a chain are kept.
+// cachedPrefix returns how many leading blocks of a chain are stored, and marks them as used.
 func (v *vault) cachedPrefix(chain []prefix.Hash) int {
 	for i, hash := range chain {
 		entry := v.entries[hash]
