--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -23,22 +23,22 @@
 const (
 	clusterToken            = "scale"
 	replicas                = 3
-	leaderHeartbeatInterval = 100 * time.Millisecond // of the leader
-	routerHeartbeatInterval = 500 * time.Millisecond // of routers
+	leaderHeartbeatInterval = 100 * time.Millisecond
+	routerHeartbeatInterval = 500 * time.Millisecond
 	requestTimeout          = 5 * time.Second
 	electionTimeout         = 20 * time.Second
 )
 
-// group is a control group of real replicas.
+// group is a control group of real replicas in this process.
 type group struct {
 	ctx       context.Context
 	servers   []*control.Server
-	stops     []context.CancelFunc // one for each server
+	stops     []context.CancelFunc // by server
 	addresses []string
-	client    *control.Client // of operators
+	client    *control.Client // for requests of operators
 }
 
-// startGroup runs three replicas until ctx ends.
+// startGroup starts the replicas, which run until ctx ends, and waits until they answer.
 func startGroup(ctx context.Context, folder, platform string) (*group, error) {
 	g := &group{ctx: ctx}
 	var files []*node.File
@@ -79,7 +79,7 @@
 	return g.client.Ask(ctx, request)
 }
 
-// changeSettings makes one edit of the newest version and returns the version it became.
+// changeSettings applies edits to the newest settings version and returns the new version.
 func (g *group) changeSettings(edits ...settings.Edit) (uint64, error) {
 	read, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
 	if err != nil {
@@ -96,7 +96,7 @@
 	return response.Change.Version, nil
 }
 
-// waitInForce waits until a version is in force everywhere.
+// waitInForce waits until a settings version is in force on all routers.
 func (g *group) waitInForce(version uint64) error {
 	for {
 		read, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
@@ -107,7 +107,7 @@
 	}
 }
 
-// emulatedRouters are routers that only renew their sessions.
+// emulatedRouters emulates routers that only keep their sessions with control.
 type emulatedRouters struct {
 	group         *group
 	client        *control.Client
@@ -123,7 +123,7 @@
 	return h
 }
 
-// addUntil adds routers until there are count, and waits until each has a lease.
+// addUntil adds routers until there are count of them, and waits until each has a lease.
 func (h *emulatedRouters) addUntil(count int) {
 	for ; h.count < count; h.count++ {
 		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.namePrefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, routerHeartbeatInterval, guard.Set{})
@@ -133,7 +133,7 @@
 	h.pendingLeases.Wait()
 }
 
-// runSession is one hollow router. It takes settings up at once, as if its disk were instant.
+// runSession keeps the session of one emulated router, which acknowledges new settings without writing them to disk.
 func (h *emulatedRouters) runSession(machine *session.Machine) {
 	started, first := time.Now(), true
 	for h.group.ctx.Err() == nil {
@@ -160,7 +160,7 @@
 	}
 }
 
-// measureNodes measures control against the number of nodes.
+// measureNodes measures processor time and traffic of control by the number of routers.
 func measureNodes(g *group, report *Report, sizes []int, length time.Duration) (*emulatedRouters, error) {
 	routers := newEmulatedRouters(g)
 	var cores, traffic []Point
@@ -180,7 +180,7 @@
 	return routers, nil
 }
 
-// measureChanges measures how long a change takes to be in force on all hollow nodes, and what it sends.
+// measureChanges measures how long a settings change takes to be in force on all emulated routers, and its traffic.
 func measureChanges(g *group, routers *emulatedRouters, report *Report, changes int) error {
 	var slowest, total time.Duration
 	before, started := routers.counter.total(), time.Now()
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// measureClaims measures the run ledger: claims a second at three replicas, and the share of the leader's sync.
+// measureClaims measures the throughput and latency of run ledger claims, and how many share one disk sync.
 func measureClaims(g *group, report *Report, clients int, length time.Duration) error {
 	heartbeat := control.Heartbeat{Router: "claimer", Incarnation: 1, Zone: "z"}
 	session, err := g.req(requestTimeout, control.Request{Heartbeat: &heartbeat})
@@ -259,7 +259,7 @@
 	return count, time.Duration(nanoseconds)
 }
 
-// measureSimultaneousStart starts many routers at once and measures the time until each serves by the newest settings.
+// measureSimultaneousStart starts many routers at once and measures the time until each has a lease.
 func measureSimultaneousStart(g *group, report *Report, count int) {
 	routers := newEmulatedRouters(g)
 	routers.namePrefix = "herd"
@@ -270,7 +270,7 @@
 	report.addFigure(roleControl, "bytes of the herd, by router", "bytes", routers.counter.total()/float64(count))
 }
 
-// measureLeaderLoss ends the leading replica and measures the time until the next change is accepted.
+// measureLeaderLoss stops the leader and measures the time until the next change is accepted.
 func measureLeaderLoss(g *group, report *Report) error {
 	response, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
 	if err != nil {
