--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -1,6 +1,6 @@
-// Package scale measures what each role costs against the number of nodes, engines, blocks, tenants, changes and
-// requests. Real routers and control replicas run in this process beside hollow ones that speak the real internal
-// protocol; processor time is told apart by role with profile labels.
+// Package scale measures the cost of each role by the number of nodes, engines, blocks, tenants, changes and requests.
+// Real routers and control replicas run in this process together with emulated routers and engines that speak the same
+// protocols. Profile labels attribute processor time to roles.
 package scale
 
 import (
@@ -16,31 +16,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// Roles by which processor time is told apart.
+// Roles to which processor time is attributed.
 const (
 	roleControl  = "control"
 	roleRouter   = "router"
-	roleEmulated = "hollow" // everything that only stands for others
+	roleEmulated = "hollow" // emulated routers and engines, and callers
 )
 
 const roleLabel = "role"
 
-// runWithRole runs something with its processor time counted for a role; goroutines that it starts are counted too.
+// runWithRole attributes the processor time of run, and of goroutines that it starts, to a role.
 func runWithRole(role string, run func()) {
 	pprof.Do(context.Background(), pprof.Labels(roleLabel, role), func(context.Context) { run() })
 }
 
-// Usage is what a phase cost.
+// Usage is the processor time of a phase.
 type Usage struct {
 	Wall  time.Duration
-	Cores map[string]float64 // processor time by role over wall time; shared work of the runtime is spread by share
+	Cores map[string]float64 // processor time by role, divided by wall time; unlabelled work is distributed proportionally
 }
 
-// measure runs a phase of a length and returns the processor time by role.
+// measure runs a workload for at least duration and returns its processor time by role.
 func measure(duration time.Duration, workload func()) (Usage, error) {
 	var raw bytes.Buffer
 	if err := pprof.StartCPUProfile(&raw); err != nil {
-		return Usage{}, eris.Wrap(err, "start profile")
+		return Usage{}, eris.Wrap(err, "start CPU profile")
 	}
 	started := time.Now()
 	workload()
@@ -49,12 +49,12 @@
 	pprof.StopCPUProfile()
 	parsed, err := profile.Parse(&raw)
 	if err != nil {
-		return Usage{}, eris.Wrap(err, "read profile")
+		return Usage{}, eris.Wrap(err, "parse CPU profile")
 	}
 	return Usage{Wall: wall, Cores: byRole(parsed, wall)}, nil
 }
 
-// byRole sums samples by label and spreads those without one.
+// byRole sums samples by role and distributes those without a role proportionally.
 func byRole(parsed *profile.Profile, wall time.Duration) map[string]float64 {
 	cores := map[string]float64{}
 	labelled, unlabelled := 0.0, 0.0
@@ -73,7 +73,7 @@
 	return cores
 }
 
-// heapInUse returns the bytes in use after a collection.
+// heapInUse returns the bytes of allocated heap objects after garbage collection.
 func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -82,34 +82,34 @@
 	return float64(stats.HeapAlloc)
 }
 
-// trafficCounter counts the bytes and connections that pass.
+// trafficCounter counts bytes received and sent.
 type trafficCounter struct {
 	in, out atomic.Int64
 }
 
 func (c *trafficCounter) total() float64 { return float64(c.in.Load() + c.out.Load()) }
 
-// countedConn counts what passes through a connection.
+// countedConn counts the bytes of a connection.
 type countedConn struct {
 	net.Conn
 	counter *trafficCounter
 }
 
-// Read reads and counts.
+// Read implements net.Conn.
 func (c *countedConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	c.counter.in.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write implements net.Conn.
 func (c *countedConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.counter.out.Add(int64(n))
 	return n, err
 }
 
-// dial makes connections that are counted.
+// dial opens a counted connection.
 func (c *trafficCounter) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	connection, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, address)
 	if err != nil {
@@ -118,13 +118,13 @@
 	return &countedConn{connection, c}, nil
 }
 
-// countedListener counts what passes through accepted connections.
+// countedListener counts the bytes of accepted connections.
 type countedListener struct {
 	net.Listener
 	counter *trafficCounter
 }
 
-// Accept accepts a connection that is counted.
+// Accept implements net.Listener.
 func (l countedListener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
 	if err != nil {
@@ -142,7 +142,7 @@
 	return countedListener{listener, c}, nil
 }
 
-// freeAddress returns a loopback address that nothing listens on.
+// freeAddress returns an unused loopback address.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
