--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -19,10 +19,10 @@
 	promptTokens        = 2000
 	latencyRate         = 100
 	engineTokenInterval = 20 * time.Millisecond
-	directAttemptID     = 1 << 40 // attempt ids of direct calls do not meet the router's
+	directAttemptID     = 1 << 40 // does not collide with the router's attempt IDs
 )
 
-// dataPath is a real router in front of hollow engines, with callers beside it.
+// dataPath is a real router in front of emulated engines, with a client.
 type dataPath struct {
 	engines *emulatedEngines
 	router  string
@@ -43,7 +43,7 @@
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}}, nil
 }
 
-// routed sends a request through the router.
+// routed returns a function that sends a request through the router.
 func (p *dataPath) routed(tokens int) func(int) (time.Duration, error) {
 	headers := map[string]string{"Authorization": "Bearer " + apiKey}
 	return func(number int) (time.Duration, error) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// direct sends the same prompt to an engine.
+// direct returns a function that sends the same prompt directly to an engine.
 func (p *dataPath) direct(tokens int) func(int) (time.Duration, error) {
 	return func(number int) (time.Duration, error) {
 		body := api.GenerateRequest{Attempt: directAttemptID, Prompt: fmt.Sprint(number%50, p.prompt), MaxTokens: tokens, PromptTokens: promptTokens}
@@ -60,10 +60,10 @@
 	}
 }
 
-// measureLatency compares the time to first token with and without the router, in turns of one run.
+// measureLatency compares the time to first token with and without the router, in alternating rounds.
 func (p *dataPath) measureLatency(report *Report, rounds int, roundDuration time.Duration) error {
 	const tokens = 5
-	sendAtRate(latencyRate, roundDuration/2, p.routed(tokens)) // connections are made before the first figure
+	sendAtRate(latencyRate, roundDuration/2, p.routed(tokens)) // warm up connections
 	sendAtRate(latencyRate, roundDuration/2, p.direct(tokens))
 	var medians, tails, directMedians, directTails float64
 	for range rounds {
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// measureTokenIntervals measures the time between tokens through the router, of engines that give one every tokenGap.
+// measureTokenIntervals measures the time between tokens through the router when engines send one every
+// engineTokenInterval.
 func (p *dataPath) measureTokenIntervals(report *Report, rate int, duration time.Duration) error {
 	p.engines.tokenInterval = engineTokenInterval
 	defer func() { p.engines.tokenInterval = 0 }()
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// measureProcessorTime measures the router's processor time against requests and tokens a second.
+// measureProcessorTime measures the router's processor time by requests and tokens per second.
 func (p *dataPath) measureProcessorTime(report *Report, rates, tokens []int, duration time.Duration) error {
 	var byRate, byTokens []Point
 	phase := func(rate, count int) (float64, error) {
@@ -142,10 +143,10 @@
 	return nil
 }
 
-// measureStreams measures the memory of open streams, callers and engines of this process included.
+// measureStreams measures the heap memory of open streams, including their callers and engines in this process.
 func (p *dataPath) measureStreams(report *Report, sizes []int, openDuration time.Duration) error {
 	const tokenInterval, settleTime = 100 * time.Millisecond, 500 * time.Millisecond
-	tokens := int((openDuration + 2*settleTime) / tokenInterval) // the first stream is open until the last one is
+	tokens := int((openDuration + 2*settleTime) / tokenInterval) // keeps the first stream open until the last one has been opened
 	var points []Point
 	for _, size := range sizes {
 		p.engines.tokenInterval = tokenInterval
@@ -166,7 +167,7 @@
 	return nil
 }
 
-// measureHeapGrowth sends many requests and compares the heap after a tenth of them with the heap after all.
+// measureHeapGrowth sends count requests and reports the heap after a tenth of them and after all.
 func (p *dataPath) measureHeapGrowth(report *Report, rate, count int) error {
 	tenth := time.Duration(count/10) * time.Second / time.Duration(rate)
 	if _, failed := sendAtRate(rate, tenth, p.routed(2)); failed > 0 {
