--- a/internal/lab/scale/plots.go
+++ b/internal/lab/scale/plots.go
@@ -15,7 +15,7 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// Plot draws each slope with its points into a folder, in the order of the report.
+// Plot writes a plot of each slope and its points to a folder.
 func (r *Report) Plot(folder string) error {
 	for number, slope := range r.Slopes {
 		if err := slope.plot(filepath.Join(folder, fmt.Sprintf("slope-%02d.png", number+1))); err != nil {
