--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -8,13 +8,13 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement.
+// Point is a value measured at one size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// Slope is how a quantity grows with a size, fitted over several points.
+// Slope is the growth of a quantity with a size, fitted by linear regression.
 type Slope struct {
 	Role      string  `json:"role"`
 	Quantity  string  `json:"quantity"`
@@ -26,7 +26,7 @@
 	Intercept float64 `json:"intercept"`
 }
 
-// Figure is one measured value that is not a slope.
+// Figure is a single measured value.
 type Figure struct {
 	Role  string  `json:"role"`
 	Name  string  `json:"name"`
@@ -34,7 +34,7 @@
 	Value float64 `json:"value"`
 }
 
-// Report is everything a run measured.
+// Report holds all measurements of a run.
 type Report struct {
 	Quick   bool     `json:"quick"`
 	Cores   int      `json:"cores"`
@@ -42,7 +42,7 @@
 	Figures []Figure `json:"figures"`
 }
 
-// addSlope fits and stores a slope.
+// addSlope fits a slope to the points and adds it to the report.
 func (r *Report) addSlope(role, quantity, unit, per string, points []Point) {
 	slope := Slope{Role: role, Quantity: quantity, Unit: unit, Per: per, Points: points}
 	slope.fit()
@@ -53,7 +53,7 @@
 	r.Figures = append(r.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value})
 }
 
-// fit is a least-squares line.
+// fit computes the least-squares line through the points.
 func (s *Slope) fit() {
 	var xs, ys []float64
 	for _, point := range s.Points {
