--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -31,18 +31,18 @@
 	readyTimeout = 20 * time.Second
 )
 
-// emulatedEngines answer polls and attempts without any model behind them.
+// emulatedEngines answers state polls and generate requests without simulating load.
 type emulatedEngines struct {
 	counter  trafficCounter
 	machines []core.Machine
 	started  time.Time
-	// blockChangesPerSecond is how many blocks an engine reports as stored, and as many as evicted, each second.
+	// blockChangesPerSecond is how many blocks each engine reports as stored, and as evicted, per second.
 	blockChangesPerSecond int
 	tokenInterval         time.Duration
 	platform              string
 }
 
-// startEmulatedEngines opens listeners for engines and the machine list.
+// startEmulatedEngines starts servers for the engines and for the platform's machine list.
 func startEmulatedEngines(ctx context.Context, count, blockChanges int) (*emulatedEngines, error) {
 	h := &emulatedEngines{started: time.Now(), blockChangesPerSecond: blockChanges}
 	for i := range count {
@@ -72,7 +72,7 @@
 }
 
 func writeJSON(w http.ResponseWriter, value any) {
-	_ = json.NewEncoder(w).Encode(value) // the connection may be gone
+	_ = json.NewEncoder(w).Encode(value) // the client may have disconnected
 }
 
 func (h *emulatedEngines) serve(ctx context.Context, number int) (string, error) {
@@ -89,11 +89,11 @@
 	return listener.Addr().String(), nil
 }
 
-// state reports the events since the caller's sequence: runs of blocks stored and, later, evicted.
+// state reports the cache events after the caller's sequence number. Stored blocks are evicted 50 events later.
 func (h *emulatedEngines) state(number int, r *http.Request) api.StateReply {
 	report := core.BackendReport{Incarnation: 1, Weights: "w1", Load: core.Load{PrefillRate: 8000, EvictionAge: 20 * time.Second}}
 	var after uint64
-	_, _ = fmt.Sscan(r.URL.Query().Get("after"), &after) // missing means from the start
+	_, _ = fmt.Sscan(r.URL.Query().Get("after"), &after) // 0 if missing
 	newest := uint64(time.Since(h.started).Seconds() * float64(h.blockChangesPerSecond) / eventBlocks)
 	for sequence := max(after, newest-min(newest, 64)); sequence < newest; sequence++ {
 		event := core.CacheEvent{Sequence: sequence, Stored: makeChain(number*1_000_000+int(sequence), eventBlocks)}
@@ -106,7 +106,7 @@
 	return api.StateReply{Report: report}
 }
 
-// generate streams the wanted number of tokens.
+// generate streams the requested number of tokens.
 func (h *emulatedEngines) generate(w http.ResponseWriter, r *http.Request) {
 	var request api.GenerateRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil {
@@ -116,9 +116,9 @@
 	controller := http.NewResponseController(w)
 	write := func(event api.GenerateEvent) {
 		event.Attempt = request.Attempt
-		data, _ := json.Marshal(event) // plain struct, cannot fail
+		data, _ := json.Marshal(event) // encoding this struct cannot fail
 		fmt.Fprintf(w, "data: %s\n\n", data)
-		_ = controller.Flush() // a broken connection ends the handler soon
+		_ = controller.Flush() // a broken connection cancels the request's context
 	}
 	write(api.GenerateEvent{Kind: api.GenerateStarted, Incarnation: 1})
 	for index := request.ResumeFrom; index < request.MaxTokens && r.Context().Err() == nil; index++ {
@@ -128,7 +128,7 @@
 	write(api.GenerateEvent{Kind: api.GenerateDone, Index: request.MaxTokens})
 }
 
-// startRouter runs a real router and waits until it is ready.
+// startRouter starts a real router and waits until it is ready and knows all back ends.
 func startRouter(ctx context.Context, g *group, folder, platform string, backends int) (string, error) {
 	listen, err := freeAddress()
 	if err != nil {
@@ -149,10 +149,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return "", eris.Errorf("the router was not ready within %v", readyTimeout)
+	return "", eris.Errorf("router not ready after %v", readyTimeout)
 }
 
-// isReady reports whether a router serves and knows every back end.
+// isReady reports whether a router is ready and at least that many of its back ends are.
 func isReady(address string, backends int) bool {
 	response, err := http.Get("http://" + address + "/readyz")
 	if err != nil {
@@ -187,7 +187,7 @@
 	return readyBackends >= backends
 }
 
-// applySettings gives the group a tree in which one tenant may call the hollow service.
+// applySettings applies settings that allow one tenant to call the emulated service.
 func applySettings(g *group) error {
 	digest := sha256.Sum256([]byte(apiKey))
 	kind, keys, limit := "llm", []string{hex.EncodeToString(digest[:])}, 10_000
@@ -199,7 +199,7 @@
 	return err
 }
 
-// measurePolls measures a router against the number of engines it polls and the blocks they change.
+// measurePolls measures a router's processor time and traffic by the number of engines it polls.
 func measurePolls(ctx context.Context, g *group, report *Report, folder string, sizes []int, blockChanges int, duration time.Duration) error {
 	var cores, traffic []Point
 	for _, size := range sizes {
@@ -232,7 +232,7 @@
 	return usage, engines.counter.total() - before, err
 }
 
-// stream sends one request and returns the time to its first token. onToken, if any, is called for each token.
+// stream sends one request and returns the time to its first token. onToken, if not nil, is called for each token.
 func stream(client *http.Client, address, path string, body any, headers map[string]string, onToken func()) (time.Duration, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -252,7 +252,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return 0, eris.Errorf("status %d", response.StatusCode)
+		return 0, eris.Errorf("unexpected HTTP status %d", response.StatusCode)
 	}
 	first := time.Duration(0)
 	scanner := bufio.NewScanner(response.Body)
@@ -270,7 +270,8 @@
 	return first, scanner.Err()
 }
 
-// sendAtRate sends requests at a rate for a time and returns the times to first token, sorted.
+// sendAtRate sends requests per second for a duration. It returns the sorted times to first token and the number of
+// failures.
 func sendAtRate(rate int, duration time.Duration, send func(number int) (time.Duration, error)) ([]time.Duration, int) {
 	var mutex sync.Mutex
 	var times []time.Duration
