--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -13,12 +13,12 @@
 const (
 	simultaneousRouters = 300
 	claimClients        = 64
-	claimDuration       = 2 * time.Second // less than a lease: the claiming session is not renewed
+	claimDuration       = 2 * time.Second // shorter than a lease, because the claiming session is not renewed
 	heapGrowthRequests  = 100_000
 	heapGrowthRate      = 900
 )
 
-// Run measures every role. A quick run takes less than a minute; a long one takes longer phases and more sizes.
+// Run measures every role. A quick run, with shorter phases and fewer sizes, takes less than a minute.
 func Run(ctx context.Context, quick bool) (*Report, error) {
 	report := &Report{Quick: quick, Cores: runtime.NumCPU()}
 	phaseDuration := 1200 * time.Millisecond
@@ -37,7 +37,7 @@
 	measureDecision(report, []int{20, 300, 3100}, 4000)
 	folder, err := os.MkdirTemp("", "scale")
 	if err != nil {
-		return nil, eris.Wrap(err, "make a data folder")
+		return nil, eris.Wrap(err, "create temporary data folder")
 	}
 	defer os.RemoveAll(folder)
 	run, stop := context.WithCancel(ctx)
@@ -45,7 +45,7 @@
 	return report, measureProcesses(run, report, folder, nodes, engines, phaseDuration)
 }
 
-// measureProcesses runs the phases with real control replicas and routers.
+// measureProcesses runs the measurements that need real control replicas and routers.
 func measureProcesses(ctx context.Context, report *Report, folder string, nodes, engines []int, phaseDuration time.Duration) error {
 	noEngines, err := startEmulatedEngines(ctx, 0, 0)
 	if err != nil {
