--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -12,9 +12,9 @@
 	"kitetiller/internal/settings"
 )
 
-const eventBlocks = 24 // blocks that one event stores or evicts
+const eventBlocks = 24 // blocks that a cache event stores or evicts
 
-// makeChain returns one of many different chains.
+// makeChain returns a chain of block hashes that is distinct for each number.
 func makeChain(number, length int) []prefix.Hash {
 	chain := make([]prefix.Hash, length)
 	for i := range chain {
@@ -24,7 +24,7 @@
 	return chain
 }
 
-// measureIndex measures the prefix index: memory of a believed block, and processor time of a block change.
+// measureIndex measures the prefix index: memory of an indexed block and processor time of a change.
 func measureIndex(report *Report, sizes []int) {
 	var memory, change []Point
 	for _, size := range sizes {
@@ -47,7 +47,7 @@
 	report.addFigure("prefix index", fmt.Sprintf("processor time of one block change at %.0f blocks", change[len(change)-1].Size), "us", change[len(change)-1].Value)
 }
 
-// measureLedger measures the memory and the snapshot of a run record.
+// measureLedger measures the run ledger: memory and snapshot size of a stored response.
 func measureLedger(report *Report, sizes []int) error {
 	var memory, snapshot []Point
 	for _, size := range sizes {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// makeSettingsTree makes a tree with tenants under services.
+// makeSettingsTree returns a settings tree with the tenants spread over the services.
 func makeSettingsTree(tenants, services int) settings.Tree {
 	tree := settings.NewTree()
 	for s := range services {
@@ -87,7 +87,8 @@
 	return tree
 }
 
-// measureTree measures the tree: memory and size of a snapshot by tenant, and the time to resolve a place.
+// measureTree measures the settings tree: memory and encoded size by the number of tenants, and the time to resolve a
+// scope and to apply a change.
 func measureTree(report *Report, sizes []int, services int) error {
 	var memory, encoded []Point
 	var tree settings.Tree
@@ -113,14 +114,14 @@
 	started = time.Now()
 	for range 20 {
 		if _, problems := tree.Apply(edits); len(problems) > 0 {
-			panic("scale: edit is refused: " + problems[0].String())
+			panic("scale: settings edit rejected: " + problems[0].String())
 		}
 	}
 	report.addFigure("settings tree", fmt.Sprintf("time to apply and check a change, %d tenants", sizes[len(sizes)-1]), "ms", time.Since(started).Seconds()*1000/20)
 	return nil
 }
 
-// measureDecision measures one routing decision against the number of engines of a service.
+// measureDecision measures the time of a routing decision by the number of engines of a service.
 func measureDecision(report *Report, sizes []int, rounds int) {
 	var points []Point
 	for _, size := range sizes {
@@ -130,7 +131,7 @@
 	report.addFigure("router decision", fmt.Sprintf("processor time at %d engines", sizes[len(sizes)-1]), "us", points[len(points)-1].Value)
 }
 
-// decisionTime returns microseconds from a request's arrival to its dispatch.
+// decisionTime returns the mean time in microseconds from a request's arrival to its dispatch.
 func decisionTime(engines, rounds int) float64 {
 	c := core.New(core.Config{Router: "r", Zone: "z0", Seed: 1, BlockTokens: 64, IndexLimit: 1_000_000, ImportRate: 40_000})
 	kind := "llm"
