--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -87,7 +87,7 @@
 		vault: newVault(options.Deployment.Vault.Blocks), traffic: traffic.New(options.Deployment, seed, options.Scale),
 	}
 	r.rates.CacheBlocks = r.rates.CacheBlocks * defaultBlockTokens / options.blockTokens() // same memory at any block size
-	r.vault.limit = r.vault.limit * defaultBlockTokens / options.blockTokens()
+	r.vault.maxBlocks = r.vault.maxBlocks * defaultBlockTokens / options.blockTokens()
 	r.measure = newMeasure(r)
 	r.traffic.FollowSun(options.DayLength)
 	r.createNodes()
--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -10,13 +10,13 @@
 
 // vault is a shared store of KV cache blocks with LRU eviction.
 type vault struct {
-	limit   int
-	order   *list.List
-	entries map[prefix.Hash]*list.Element
+	maxBlocks int
+	order     *list.List
+	entries   map[prefix.Hash]*list.Element
 }
 
 func newVault(maxBlocks int) *vault {
-	return &vault{limit: maxBlocks, order: list.New(), entries: map[prefix.Hash]*list.Element{}}
+	return &vault{maxBlocks: maxBlocks, order: list.New(), entries: map[prefix.Hash]*list.Element{}}
 }
 
 // cachedPrefix returns how many leading blocks of a chain are stored, and marks them as used.
@@ -39,7 +39,7 @@
 		}
 		v.entries[hash] = v.order.PushBack(hash)
 	}
-	for len(v.entries) > v.limit {
+	for len(v.entries) > v.maxBlocks {
 		oldest := v.order.Front()
 		delete(v.entries, v.order.Remove(oldest).(prefix.Hash))
 	}
