--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -40,8 +40,8 @@
 		return nil, eris.Wrap(err, "create temporary data folder")
 	}
 	defer os.RemoveAll(folder)
-	run, stop := context.WithCancel(ctx)
-	defer stop()
+	run, cancel := context.WithCancel(ctx)
+	defer cancel()
 	return report, measureProcesses(run, report, folder, nodes, engines, phaseDuration)
 }
 
