--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -40,9 +40,9 @@
 		return nil, eris.Wrap(err, "create temporary data folder")
 	}
 	defer os.RemoveAll(folder)
-	run, cancel := context.WithCancel(ctx)
+	runCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	return report, measureProcesses(run, report, folder, nodes, engines, phaseDuration)
+	return report, measureProcesses(runCtx, report, folder, nodes, engines, phaseDuration)
 }
 
 // measureProcesses runs the measurements that need real control replicas and routers.
