--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -82,9 +82,9 @@
 }
 
 func measureDataPath(ctx context.Context, g *group, report *Report, folder string, phaseDuration time.Duration) error {
-	phase, stop := context.WithCancel(ctx)
+	phaseCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	path, err := startDataPath(phase, g, folder)
+	path, err := startDataPath(phaseCtx, g, folder)
 	if err != nil {
 		return err
 	}
