--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -203,8 +203,8 @@
 func measurePolls(ctx context.Context, g *group, report *Report, folder string, sizes []int, blockChanges int, duration time.Duration) error {
 	var cores, traffic []Point
 	for _, size := range sizes {
-		phase, stop := context.WithCancel(ctx)
-		usage, sent, err := pollPhase(phase, g, filepath.Join(folder, fmt.Sprint(size, "-", blockChanges)), size, blockChanges, duration)
+		phaseCtx, stop := context.WithCancel(ctx)
+		usage, sent, err := pollPhase(phaseCtx, g, filepath.Join(folder, fmt.Sprint(size, "-", blockChanges)), size, blockChanges, duration)
 		stop()
 		if err != nil {
 			return err
