--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -19,7 +19,7 @@
 const (
 	goodputEngines     = 30
 	goodputServiceTime = 120 * time.Millisecond // mean, exponential
-	goodputStaleness   = 40 * time.Millisecond  // age of the queue state that admission sees: twice the delay of updates between gateways
+	goodputStaleness   = 40 * time.Millisecond  // delay of the queue state that admission sees
 	goodputObjective   = 800 * time.Millisecond
 	goodputDeadline    = 5 * time.Second
 	goodputDuration    = 40 * time.Second
@@ -117,7 +117,7 @@
 
 // reject schedules the caller's retry, unless its retries or its time are used up.
 func (f *goodputFleet) reject(c goodputAttempt, retryAfter time.Duration) {
-	const maxWaitDivisor = 3 // callers wait for a third of the time that they have remaining, at most
+	const maxWaitDivisor = 3 // callers wait at most a third of their remaining time
 	remaining := c.first + goodputDeadline - c.at
 	if c.retries >= goodputMaxRetries || remaining <= 0 {
 		f.point.Refused++
--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// storeInVault stores what the router asked to storeInVault when a job was done.
+// storeInVault stores the blocks that the router selected when it dispatched the request.
 func (r *run) storeInVault(s *attempt) {
 	blocks := s.request.vaultBlocks
 	if len(blocks) == 0 {
