--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -69,11 +69,11 @@
 		go runWithRole(roleControl, func() { _ = server.Run(serverCtx) }) // ends with ctx
 	}
 	g.client = control.NewClient(transport.NewClient(clusterToken, nil), g.addresses)
-	_, err := g.req(electionTimeout, control.Request{Read: &control.Read{}})
+	_, err := g.request(electionTimeout, control.Request{Read: &control.Read{}})
 	return g, err
 }
 
-func (g *group) req(timeout time.Duration, request control.Request) (control.Response, error) {
+func (g *group) request(timeout time.Duration, request control.Request) (control.Response, error) {
 	ctx, cancel := context.WithTimeout(g.ctx, timeout)
 	defer cancel()
 	return g.client.Ask(ctx, request)
@@ -81,12 +81,12 @@
 
 // changeSettings applies edits to the newest settings version and returns the new version.
 func (g *group) changeSettings(edits ...settings.Edit) (uint64, error) {
-	read, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
+	read, err := g.request(requestTimeout, control.Request{Read: &control.Read{}})
 	if err != nil {
 		return 0, err
 	}
 	id := fmt.Sprintf("scale-%d", time.Now().UnixNano())
-	response, err := g.req(requestTimeout, control.Request{Change: &settings.Change{Base: read.Read.Version, OperationID: id, Edits: edits}})
+	response, err := g.request(requestTimeout, control.Request{Change: &settings.Change{Base: read.Read.Version, OperationID: id, Edits: edits}})
 	if err != nil {
 		return 0, err
 	}
@@ -99,7 +99,7 @@
 // waitInForce waits until a settings version is in force on all routers.
 func (g *group) waitInForce(version uint64) error {
 	for {
-		read, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
+		read, err := g.request(requestTimeout, control.Request{Read: &control.Read{}})
 		if err != nil || read.Read.InForce >= version {
 			return err
 		}
@@ -212,7 +212,7 @@
 // measureClaims measures the throughput and latency of run ledger claims, and how many share one disk sync.
 func measureClaims(g *group, report *Report, clients int, length time.Duration) error {
 	heartbeat := control.Heartbeat{Router: "claimer", Incarnation: 1, Zone: "z"}
-	session, err := g.req(requestTimeout, control.Request{Heartbeat: &heartbeat})
+	session, err := g.request(requestTimeout, control.Request{Heartbeat: &heartbeat})
 	if err != nil {
 		return err
 	}
@@ -230,7 +230,7 @@
 					claimedAt := time.Now()
 					claim := ledger.Claim{Key: ledger.Key{Tenant: "t", Service: "s", Key: fmt.Sprintf("%d-%d", worker, i)}, Digest: 1,
 						ClaimID: fmt.Sprintf("%d-%d", worker, i), Holder: holder, RetentionMS: 86_400_000}
-					response, err := g.req(requestTimeout, control.Request{Claim: &claim})
+					response, err := g.request(requestTimeout, control.Request{Claim: &claim})
 					mutex.Lock()
 					if err == nil && response.Claim.Kind == ledger.Granted {
 						granted++
@@ -272,7 +272,7 @@
 
 // measureLeaderLoss stops the leader and measures the time until the next change is accepted.
 func measureLeaderLoss(g *group, report *Report) error {
-	response, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
+	response, err := g.request(requestTimeout, control.Request{Read: &control.Read{}})
 	if err != nil {
 		return err
 	}
@@ -284,7 +284,7 @@
 		}
 	}
 	change := settings.Change{Base: version, OperationID: "after-loss", Edits: []settings.Edit{{Path: "/", Setting: "queue_limit", Value: json.RawMessage("321")}}}
-	if _, err := g.req(electionTimeout, control.Request{Change: &change}); err != nil {
+	if _, err := g.request(electionTimeout, control.Request{Change: &change}); err != nil {
 		return err
 	}
 	took := time.Since(started)
