--- a/internal/lab/bench/goodput_test.go
+++ b/internal/lab/bench/goodput_test.go
@@ -11,8 +11,8 @@
 			peak[p.Refusal] = max(peak[p.Refusal], p.InTime)
 			at[p.Refusal][p.Load] = p.InTime
 		}
-		if rejected := at[true][2]; rejected < 0.9*peak[true] {
-			t.Errorf("seed %d: goodput with early rejection is %.3f at twice the capacity, peak is %.3f", seed, rejected, peak[true])
+		if goodput := at[true][2]; goodput < 0.9*peak[true] {
+			t.Errorf("seed %d: goodput with early rejection is %.3f at twice the capacity, peak is %.3f", seed, goodput, peak[true])
 		}
 		if accepted := at[false][2]; accepted > 0.5*peak[false] {
 			t.Errorf("seed %d: goodput without rejection does not collapse: %.3f at twice the capacity, peak is %.3f", seed, accepted, peak[false])
