--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -30,7 +30,7 @@
 // GoodputPoint holds the outcomes at one load. Counts are fractions of what the engines can serve.
 type GoodputPoint struct {
 	Load              float64 `json:"load"` // arrival rate divided by the engines' capacity
-	Refusal           bool    `json:"refusal"`
+	EarlyRejection    bool    `json:"refusal"`
 	InTime            float64 `json:"in_time"` // responses within the objective, measured from the caller's last attempt
 	Late              float64 `json:"late"`
 	Refused           float64 `json:"refused"` // callers whose last attempt was rejected
@@ -45,7 +45,7 @@
 func Goodput(load float64, refusal bool, seed uint64) GoodputPoint {
 	f := &goodputFleet{random: rand.New(rand.NewPCG(seed, seed)), refusal: refusal, freeAt: make([]time.Duration, goodputEngines)}
 	f.knownFreeAt = make([]time.Duration, goodputEngines)
-	f.point = GoodputPoint{Load: load, Refusal: refusal}
+	f.point = GoodputPoint{Load: load, EarlyRejection: refusal}
 	capacity := float64(goodputEngines) / goodputServiceTime.Seconds() // requests per second of all engines
 	for at := time.Duration(0); at < goodputDuration; {
 		at += time.Duration(f.random.ExpFloat64() / (load * capacity) * float64(time.Second))
@@ -57,7 +57,7 @@
 	totalCapacity := capacity * goodputDuration.Seconds()
 	p := f.point
 	return GoodputPoint{
-		Load: load, Refusal: refusal, InTime: p.InTime / totalCapacity, Late: p.Late / totalCapacity, Refused: p.Refused / totalCapacity, Lost: p.Lost / totalCapacity,
+		Load: load, EarlyRejection: refusal, InTime: p.InTime / totalCapacity, Late: p.Late / totalCapacity, Refused: p.Refused / totalCapacity, Lost: p.Lost / totalCapacity,
 		MeanTimeToOutcome: float64(f.totalTimeToOutcome.Milliseconds()) / max(1, p.InTime+p.Late+p.Refused+p.Lost),
 	}
 }
@@ -167,7 +167,7 @@
 	var text strings.Builder
 	text.WriteString("| load | refusing in time | in time | late | refused | lost | mean time to the final word, ms |\n|---|---|---|---|---|---|---|\n")
 	for _, p := range points {
-		fmt.Fprintf(&text, "| %.2f | %t | %.3f | %.3f | %.3f | %.3f | %.0f |\n", p.Load, p.Refusal, p.InTime, p.Late, p.Refused, p.Lost, p.MeanTimeToOutcome)
+		fmt.Fprintf(&text, "| %.2f | %t | %.3f | %.3f | %.3f | %.3f | %.0f |\n", p.Load, p.EarlyRejection, p.InTime, p.Late, p.Refused, p.Lost, p.MeanTimeToOutcome)
 	}
 	return text.String()
 }
@@ -182,7 +182,7 @@
 	for index, refusal := range []bool{false, true} {
 		var line plotter.XYs
 		for _, point := range points {
-			if point.Refusal == refusal {
+			if point.EarlyRejection == refusal {
 				line = append(line, plotter.XY{X: point.Load, Y: point.InTime})
 			}
 		}
--- a/internal/lab/bench/goodput_test.go
+++ b/internal/lab/bench/goodput_test.go
@@ -8,8 +8,8 @@
 		peak := map[bool]float64{}
 		at := map[bool]map[float64]float64{false: {}, true: {}}
 		for _, p := range GoodputCurve(seed) {
-			peak[p.Refusal] = max(peak[p.Refusal], p.InTime)
-			at[p.Refusal][p.Load] = p.InTime
+			peak[p.EarlyRejection] = max(peak[p.EarlyRejection], p.InTime)
+			at[p.EarlyRejection][p.Load] = p.InTime
 		}
 		if goodput := at[true][2]; goodput < 0.9*peak[true] {
 			t.Errorf("seed %d: goodput with early rejection is %.3f at twice the capacity, peak is %.3f", seed, goodput, peak[true])
