--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -42,10 +42,10 @@
 var GoodputLoads = []float64{0.5, 0.75, 0.9, 1, 1.25, 1.5, 2, 2.5, 3}
 
 // Goodput simulates one load, with or without early rejection.
-func Goodput(load float64, refusal bool, seed uint64) GoodputPoint {
-	f := &goodputFleet{random: rand.New(rand.NewPCG(seed, seed)), refusal: refusal, freeAt: make([]time.Duration, goodputEngines)}
+func Goodput(load float64, earlyRejection bool, seed uint64) GoodputPoint {
+	f := &goodputFleet{random: rand.New(rand.NewPCG(seed, seed)), refusal: earlyRejection, freeAt: make([]time.Duration, goodputEngines)}
 	f.knownFreeAt = make([]time.Duration, goodputEngines)
-	f.point = GoodputPoint{Load: load, EarlyRejection: refusal}
+	f.point = GoodputPoint{Load: load, EarlyRejection: earlyRejection}
 	capacity := float64(goodputEngines) / goodputServiceTime.Seconds() // requests per second of all engines
 	for at := time.Duration(0); at < goodputDuration; {
 		at += time.Duration(f.random.ExpFloat64() / (load * capacity) * float64(time.Second))
@@ -57,7 +57,7 @@
 	totalCapacity := capacity * goodputDuration.Seconds()
 	p := f.point
 	return GoodputPoint{
-		Load: load, EarlyRejection: refusal, InTime: p.InTime / totalCapacity, Late: p.Late / totalCapacity, Refused: p.Refused / totalCapacity, Lost: p.Lost / totalCapacity,
+		Load: load, EarlyRejection: earlyRejection, InTime: p.InTime / totalCapacity, Late: p.Late / totalCapacity, Refused: p.Refused / totalCapacity, Lost: p.Lost / totalCapacity,
 		MeanTimeToOutcome: float64(f.totalTimeToOutcome.Milliseconds()) / max(1, p.InTime+p.Late+p.Refused+p.Lost),
 	}
 }
