--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -154,9 +154,9 @@
 // GoodputCurve simulates all loads, with and without early rejection.
 func GoodputCurve(seed uint64) []GoodputPoint {
 	var points []GoodputPoint
-	for _, refusal := range []bool{false, true} {
+	for _, earlyRejection := range []bool{false, true} {
 		for _, load := range GoodputLoads {
-			points = append(points, Goodput(load, refusal, seed))
+			points = append(points, Goodput(load, earlyRejection, seed))
 		}
 	}
 	return points
