--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -179,15 +179,15 @@
 	p.X.Label.Text, p.Y.Label.Text = "load, of what the engines can serve", "answers in time, of what the engines can serve"
 	p.Y.Min = 0
 	p.Legend.Top = true
-	for index, refusal := range []bool{false, true} {
+	for index, earlyRejection := range []bool{false, true} {
 		var line plotter.XYs
 		for _, point := range points {
-			if point.EarlyRejection == refusal {
+			if point.EarlyRejection == earlyRejection {
 				line = append(line, plotter.XY{X: point.Load, Y: point.InTime})
 			}
 		}
 		name := "everything is sent"
-		if refusal {
+		if earlyRejection {
 			name = "refusing in time"
 		}
 		if err := addLine(p, index, name, line); err != nil {
