--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -33,7 +33,7 @@
 	EarlyRejection    bool    `json:"refusal"`
 	InTime            float64 `json:"in_time"` // responses within the objective, measured from the caller's last attempt
 	Late              float64 `json:"late"`
-	Refused           float64 `json:"refused"` // callers whose last attempt was rejected
+	Rejected          float64 `json:"refused"` // callers whose last attempt was rejected
 	Lost              float64 `json:"lost"`    // callers whose deadline passed
 	MeanTimeToOutcome float64 `json:"word_ms"` // mean time from the first attempt to the outcome
 }
@@ -57,8 +57,8 @@
 	totalCapacity := capacity * goodputDuration.Seconds()
 	p := f.point
 	return GoodputPoint{
-		Load: load, EarlyRejection: earlyRejection, InTime: p.InTime / totalCapacity, Late: p.Late / totalCapacity, Refused: p.Refused / totalCapacity, Lost: p.Lost / totalCapacity,
-		MeanTimeToOutcome: float64(f.totalTimeToOutcome.Milliseconds()) / max(1, p.InTime+p.Late+p.Refused+p.Lost),
+		Load: load, EarlyRejection: earlyRejection, InTime: p.InTime / totalCapacity, Late: p.Late / totalCapacity, Rejected: p.Rejected / totalCapacity, Lost: p.Lost / totalCapacity,
+		MeanTimeToOutcome: float64(f.totalTimeToOutcome.Milliseconds()) / max(1, p.InTime+p.Late+p.Rejected+p.Lost),
 	}
 }
 
@@ -120,7 +120,7 @@
 	const maxWaitDivisor = 3 // callers wait at most a third of their remaining time
 	remaining := c.first + goodputDeadline - c.at
 	if c.retries >= goodputMaxRetries || remaining <= 0 {
-		f.point.Refused++
+		f.point.Rejected++
 		f.totalTimeToOutcome += c.at - c.first
 		return
 	}
@@ -167,7 +167,7 @@
 	var text strings.Builder
 	text.WriteString("| load | refusing in time | in time | late | refused | lost | mean time to the final word, ms |\n|---|---|---|---|---|---|---|\n")
 	for _, p := range points {
-		fmt.Fprintf(&text, "| %.2f | %t | %.3f | %.3f | %.3f | %.3f | %.0f |\n", p.Load, p.EarlyRejection, p.InTime, p.Late, p.Refused, p.Lost, p.MeanTimeToOutcome)
+		fmt.Fprintf(&text, "| %.2f | %t | %.3f | %.3f | %.3f | %.3f | %.0f |\n", p.Load, p.EarlyRejection, p.InTime, p.Late, p.Rejected, p.Lost, p.MeanTimeToOutcome)
 	}
 	return text.String()
 }
