--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -27,7 +27,7 @@
 	InteractiveTTFTP99   float64 `json:"interactive_ttft_p99_ms"`
 	RecomputedTokenShare float64 `json:"recomputed_token_share"`          // fraction of prompt tokens computed again
 	RecomputedElsewhere  float64 `json:"recomputed_held_elsewhere_share"` // part of it that another live engine had cached
-	RefusedShare         float64 `json:"refused_share"`
+	RejectedRatio        float64 `json:"refused_share"`
 	Completed            int     `json:"completed"`
 	Goodput              float64 `json:"goodput_per_s"`    // requests whose first token came within the deadline
 	CrashRecovery        float64 `json:"crash_recovery_s"` // until the hit rate is back at 90%; -1: not within the run
@@ -151,7 +151,7 @@
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
 		PrefixHitRate: ratio(m.hit, m.prompt), CopiedShare: ratio(m.copied, m.prompt),
 		TTFTP50: milliseconds(m.all, 50), TTFTP99: milliseconds(m.all, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
-		RecomputedTokenShare: ratio(m.recomputed, m.prompt), RefusedShare: ratio(m.refused, m.refused+m.completed),
+		RecomputedTokenShare: ratio(m.recomputed, m.prompt), RejectedRatio: ratio(m.refused, m.refused+m.completed),
 		Completed: m.completed, Goodput: float64(m.inTime) / (m.run.options.Length - warmUp).Seconds(),
 		firstToken: m.all, byCause: m.byCause, Scale: m.run.options.Scale,
 	}
--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -50,7 +50,7 @@
 	{"recomputed", func(r *Row) *float64 { return &r.RecomputedTokenShare }},
 	{"held elsewhere", func(r *Row) *float64 { return &r.RecomputedElsewhere }},
 	{"copied", func(r *Row) *float64 { return &r.CopiedShare }},
-	{"refused", func(r *Row) *float64 { return &r.RefusedShare }},
+	{"refused", func(r *Row) *float64 { return &r.RejectedRatio }},
 	{"goodput/s", func(r *Row) *float64 { return &r.Goodput }},
 	{"crash recovery s", func(r *Row) *float64 { return &r.CrashRecovery }},
 	{"shift recovery s", func(r *Row) *float64 { return &r.ShiftRecovery }},
