--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -21,7 +21,7 @@
 	Policy               Policy  `json:"policy"`
 	Seed                 uint64  `json:"seed"`
 	PrefixHitRate        float64 `json:"prefix_hit_rate"` // fraction of prompt tokens reused from a cache or imported
-	CopiedShare          float64 `json:"copied_token_share"`
+	ImportedRatio        float64 `json:"copied_token_share"`
 	TTFTP50              float64 `json:"ttft_p50_ms"`
 	TTFTP99              float64 `json:"ttft_p99_ms"`
 	InteractiveTTFTP99   float64 `json:"interactive_ttft_p99_ms"`
@@ -149,7 +149,7 @@
 func (m *measure) row() Row {
 	row := Row{
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
-		PrefixHitRate: ratio(m.hit, m.prompt), CopiedShare: ratio(m.copied, m.prompt),
+		PrefixHitRate: ratio(m.hit, m.prompt), ImportedRatio: ratio(m.copied, m.prompt),
 		TTFTP50: milliseconds(m.all, 50), TTFTP99: milliseconds(m.all, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
 		RecomputedTokenShare: ratio(m.recomputed, m.prompt), RejectedRatio: ratio(m.refused, m.refused+m.completed),
 		Completed: m.completed, Goodput: float64(m.inTime) / (m.run.options.Length - warmUp).Seconds(),
--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -49,7 +49,7 @@
 	{"interactive p99 ms", func(r *Row) *float64 { return &r.InteractiveTTFTP99 }},
 	{"recomputed", func(r *Row) *float64 { return &r.RecomputedTokenShare }},
 	{"held elsewhere", func(r *Row) *float64 { return &r.RecomputedElsewhere }},
-	{"copied", func(r *Row) *float64 { return &r.CopiedShare }},
+	{"copied", func(r *Row) *float64 { return &r.ImportedRatio }},
 	{"refused", func(r *Row) *float64 { return &r.RejectedRatio }},
 	{"goodput/s", func(r *Row) *float64 { return &r.Goodput }},
 	{"crash recovery s", func(r *Row) *float64 { return &r.CrashRecovery }},
