--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -47,7 +47,7 @@
 	{"p50 ms", func(r *Row) *float64 { return &r.TTFTP50 }},
 	{"p99 ms", func(r *Row) *float64 { return &r.TTFTP99 }},
 	{"interactive p99 ms", func(r *Row) *float64 { return &r.InteractiveTTFTP99 }},
-	{"recomputed", func(r *Row) *float64 { return &r.RecomputedTokenShare }},
+	{"recomputed", func(r *Row) *float64 { return &r.RecomputedRatio }},
 	{"held elsewhere", func(r *Row) *float64 { return &r.RecomputedElsewhere }},
 	{"copied", func(r *Row) *float64 { return &r.ImportedRatio }},
 	{"refused", func(r *Row) *float64 { return &r.RejectedRatio }},
