--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -17,22 +17,22 @@
 
 // Row is the result of one policy over one seed.
 type Row struct {
-	Deployment          string  `json:"deployment"`
-	Policy              Policy  `json:"policy"`
-	Seed                uint64  `json:"seed"`
-	PrefixHitRate       float64 `json:"prefix_hit_rate"` // fraction of prompt tokens reused from a cache or imported
-	ImportedRatio       float64 `json:"copied_token_share"`
-	TTFTP50             float64 `json:"ttft_p50_ms"`
-	TTFTP99             float64 `json:"ttft_p99_ms"`
-	InteractiveTTFTP99  float64 `json:"interactive_ttft_p99_ms"`
-	RecomputedRatio     float64 `json:"recomputed_token_share"`          // fraction of prompt tokens computed again
-	RecomputedElsewhere float64 `json:"recomputed_held_elsewhere_share"` // part of it that another live engine had cached
-	RejectedRatio       float64 `json:"refused_share"`
-	Completed           int     `json:"completed"`
-	Goodput             float64 `json:"goodput_per_s"`    // requests whose first token came within the deadline
-	CrashRecovery       float64 `json:"crash_recovery_s"` // until the hit rate is back at 90%; -1: not within the run
-	ShiftRecovery       float64 `json:"shift_recovery_s"`
-	Scale               float64 `json:"scale"` // factor on the deployment's request rate
+	Deployment                string  `json:"deployment"`
+	Policy                    Policy  `json:"policy"`
+	Seed                      uint64  `json:"seed"`
+	PrefixHitRate             float64 `json:"prefix_hit_rate"` // fraction of prompt tokens reused from a cache or imported
+	ImportedRatio             float64 `json:"copied_token_share"`
+	TTFTP50                   float64 `json:"ttft_p50_ms"`
+	TTFTP99                   float64 `json:"ttft_p99_ms"`
+	InteractiveTTFTP99        float64 `json:"interactive_ttft_p99_ms"`
+	RecomputedRatio           float64 `json:"recomputed_token_share"`          // fraction of prompt tokens computed again
+	RecomputedCachedElsewhere float64 `json:"recomputed_held_elsewhere_share"` // part of it that another live engine had cached
+	RejectedRatio             float64 `json:"refused_share"`
+	Completed                 int     `json:"completed"`
+	Goodput                   float64 `json:"goodput_per_s"`    // requests whose first token came within the deadline
+	CrashRecovery             float64 `json:"crash_recovery_s"` // until the hit rate is back at 90%; -1: not within the run
+	ShiftRecovery             float64 `json:"shift_recovery_s"`
+	Scale                     float64 `json:"scale"` // factor on the deployment's request rate
 
 	hitSeries  []float64 // hit rate of each second
 	firstToken *hdrhistogram.Histogram
@@ -156,7 +156,7 @@
 		firstToken: m.all, byCause: m.byCause, Scale: m.run.options.Scale,
 	}
 	if m.prompt > 0 {
-		row.RecomputedElsewhere = m.byCause[causeElsewhere] / float64(m.prompt)
+		row.RecomputedCachedElsewhere = m.byCause[causeElsewhere] / float64(m.prompt)
 	}
 	for _, second := range m.hitBySecond {
 		row.hitSeries = append(row.hitSeries, ratio(second[0], second[1]))
--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -48,7 +48,7 @@
 	{"p99 ms", func(r *Row) *float64 { return &r.TTFTP99 }},
 	{"interactive p99 ms", func(r *Row) *float64 { return &r.InteractiveTTFTP99 }},
 	{"recomputed", func(r *Row) *float64 { return &r.RecomputedRatio }},
-	{"held elsewhere", func(r *Row) *float64 { return &r.RecomputedElsewhere }},
+	{"held elsewhere", func(r *Row) *float64 { return &r.RecomputedCachedElsewhere }},
 	{"copied", func(r *Row) *float64 { return &r.ImportedRatio }},
 	{"refused", func(r *Row) *float64 { return &r.RejectedRatio }},
 	{"goodput/s", func(r *Row) *float64 { return &r.Goodput }},
