--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -57,7 +57,7 @@
 	copied         int
 	recomputed     int
 	completed      int
-	refused        int
+	rejected       int
 	inTime         int
 	all            *hdrhistogram.Histogram
 	interactive    *hdrhistogram.Histogram
@@ -132,7 +132,7 @@
 		m.completed++
 		return
 	}
-	m.refused++
+	m.rejected++
 }
 
 func ratio(part, whole int) float64 {
@@ -151,7 +151,7 @@
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
 		PrefixHitRate: ratio(m.hit, m.prompt), ImportedRatio: ratio(m.copied, m.prompt),
 		TTFTP50: milliseconds(m.all, 50), TTFTP99: milliseconds(m.all, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
-		RecomputedRatio: ratio(m.recomputed, m.prompt), RejectedRatio: ratio(m.refused, m.refused+m.completed),
+		RecomputedRatio: ratio(m.recomputed, m.prompt), RejectedRatio: ratio(m.rejected, m.rejected+m.completed),
 		Completed: m.completed, Goodput: float64(m.inTime) / (m.run.options.Length - warmUp).Seconds(),
 		firstToken: m.all, byCause: m.byCause, Scale: m.run.options.Scale,
 	}
