--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -54,7 +54,7 @@
 	run            *run
 	prompt         int
 	hit            int
-	copied         int
+	imported       int
 	recomputed     int
 	completed      int
 	rejected       int
@@ -102,7 +102,7 @@
 	}
 	m.prompt += output.Job.PromptTokens
 	m.hit += output.Cached
-	m.copied += output.Imported
+	m.imported += output.Imported
 	m.recomputed += recomputed
 	m.byCause[causeElsewhere] += float64(elsewhere)
 	m.byCause[causeEvicted] += float64(recomputed - elsewhere)
@@ -149,7 +149,7 @@
 func (m *measure) row() Row {
 	row := Row{
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
-		PrefixHitRate: ratio(m.hit, m.prompt), ImportedRatio: ratio(m.copied, m.prompt),
+		PrefixHitRate: ratio(m.hit, m.prompt), ImportedRatio: ratio(m.imported, m.prompt),
 		TTFTP50: milliseconds(m.all, 50), TTFTP99: milliseconds(m.all, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
 		RecomputedRatio: ratio(m.recomputed, m.prompt), RejectedRatio: ratio(m.rejected, m.rejected+m.completed),
 		Completed: m.completed, Goodput: float64(m.inTime) / (m.run.options.Length - warmUp).Seconds(),
