--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -44,8 +44,8 @@
 
 // Causes, by the contents of the caches when the job started.
 const (
-	causeElsewhere cause = iota // another live engine or the vault had them cached
-	causeEvicted                // no cache had them any more
+	causeCachedElsewhere cause = iota // another live engine or the vault had them cached
+	causeEvicted                      // no cache had them any more
 	causeCount
 )
 
@@ -104,7 +104,7 @@
 	m.hit += output.Cached
 	m.imported += output.Imported
 	m.recomputed += recomputed
-	m.byCause[causeElsewhere] += float64(elsewhere)
+	m.byCause[causeCachedElsewhere] += float64(elsewhere)
 	m.byCause[causeEvicted] += float64(recomputed - elsewhere)
 }
 
@@ -156,7 +156,7 @@
 		firstToken: m.all, byCause: m.byCause, Scale: m.run.options.Scale,
 	}
 	if m.prompt > 0 {
-		row.RecomputedCachedElsewhere = m.byCause[causeElsewhere] / float64(m.prompt)
+		row.RecomputedCachedElsewhere = m.byCause[causeCachedElsewhere] / float64(m.prompt)
 	}
 	for _, second := range m.hitBySecond {
 		row.hitSeries = append(row.hitSeries, ratio(second[0], second[1]))
