--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -169,7 +169,7 @@
 const (
 	recoveryWindow    = 8   // seconds before an event over which the baseline is taken
 	recoverySmoothing = 3   // seconds over which the hit rate is averaged
-	recoveredShare    = 0.9 // of the baseline
+	recoveredRatio    = 0.9 // of the baseline
 )
 
 // recovery returns the seconds from an event until the hit rate has recovered, or -1.
@@ -180,7 +180,7 @@
 	dropped := false
 	for end := second + 1; end <= last; end++ {
 		level := m.hitRate(max(second, end-recoverySmoothing), end)
-		if level < recoveredShare*baseline {
+		if level < recoveredRatio*baseline {
 			dropped = true
 			continue
 		}
