--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -52,7 +52,7 @@
 // measure collects the results of a run. Requests sent before the warm-up ends are not counted.
 type measure struct {
 	run            *run
-	prompt         int
+	promptTokens   int
 	hit            int
 	imported       int
 	recomputed     int
@@ -100,7 +100,7 @@
 	if s.request.sentAt < warmUp {
 		return
 	}
-	m.prompt += output.Job.PromptTokens
+	m.promptTokens += output.Job.PromptTokens
 	m.hit += output.Cached
 	m.imported += output.Imported
 	m.recomputed += recomputed
@@ -149,14 +149,14 @@
 func (m *measure) row() Row {
 	row := Row{
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
-		PrefixHitRate: ratio(m.hit, m.prompt), ImportedRatio: ratio(m.imported, m.prompt),
+		PrefixHitRate: ratio(m.hit, m.promptTokens), ImportedRatio: ratio(m.imported, m.promptTokens),
 		TTFTP50: milliseconds(m.all, 50), TTFTP99: milliseconds(m.all, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
-		RecomputedRatio: ratio(m.recomputed, m.prompt), RejectedRatio: ratio(m.rejected, m.rejected+m.completed),
+		RecomputedRatio: ratio(m.recomputed, m.promptTokens), RejectedRatio: ratio(m.rejected, m.rejected+m.completed),
 		Completed: m.completed, Goodput: float64(m.inTime) / (m.run.options.Length - warmUp).Seconds(),
 		firstToken: m.all, byCause: m.byCause, Scale: m.run.options.Scale,
 	}
-	if m.prompt > 0 {
-		row.RecomputedCachedElsewhere = m.byCause[causeCachedElsewhere] / float64(m.prompt)
+	if m.promptTokens > 0 {
+		row.RecomputedCachedElsewhere = m.byCause[causeCachedElsewhere] / float64(m.promptTokens)
 	}
 	for _, second := range m.hitBySecond {
 		row.hitSeries = append(row.hitSeries, ratio(second[0], second[1]))
