--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -53,7 +53,7 @@
 type measure struct {
 	run            *run
 	promptTokens   int
-	hit            int
+	hitTokens      int
 	imported       int
 	recomputed     int
 	completed      int
@@ -101,7 +101,7 @@
 		return
 	}
 	m.promptTokens += output.Job.PromptTokens
-	m.hit += output.Cached
+	m.hitTokens += output.Cached
 	m.imported += output.Imported
 	m.recomputed += recomputed
 	m.byCause[causeCachedElsewhere] += float64(elsewhere)
@@ -149,7 +149,7 @@
 func (m *measure) row() Row {
 	row := Row{
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
-		PrefixHitRate: ratio(m.hit, m.promptTokens), ImportedRatio: ratio(m.imported, m.promptTokens),
+		PrefixHitRate: ratio(m.hitTokens, m.promptTokens), ImportedRatio: ratio(m.imported, m.promptTokens),
 		TTFTP50: milliseconds(m.all, 50), TTFTP99: milliseconds(m.all, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
 		RecomputedRatio: ratio(m.recomputed, m.promptTokens), RejectedRatio: ratio(m.rejected, m.rejected+m.completed),
 		Completed: m.completed, Goodput: float64(m.inTime) / (m.run.options.Length - warmUp).Seconds(),
