--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -59,7 +59,7 @@
 	completed      int
 	rejected       int
 	inTime         int
-	all            *hdrhistogram.Histogram
+	ttft           *hdrhistogram.Histogram
 	interactive    *hdrhistogram.Histogram
 	computedBlocks map[prefix.Hash]bool
 	hitBySecond    [][2]int // hit and prompt tokens
@@ -69,7 +69,7 @@
 func newMeasure(r *run) *measure {
 	return &measure{
 		run: r, computedBlocks: map[prefix.Hash]bool{},
-		all:         hdrhistogram.New(1, histogramHighest, histogramDigits),
+		ttft:        hdrhistogram.New(1, histogramHighest, histogramDigits),
 		interactive: hdrhistogram.New(1, histogramHighest, histogramDigits),
 		hitBySecond: make([][2]int, int(r.options.totalLength()/time.Second)+2),
 	}
@@ -113,7 +113,7 @@
 		return
 	}
 	ttft := now - request.sentAt
-	_ = m.all.RecordValue(ttft.Microseconds()) // the histogram's range covers the whole run
+	_ = m.ttft.RecordValue(ttft.Microseconds()) // the histogram's range covers the whole run
 	deadline := m.run.deployment.Traffic.LongDeadline
 	if request.prompt.Short {
 		_ = m.interactive.RecordValue(ttft.Microseconds())
@@ -150,10 +150,10 @@
 	row := Row{
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
 		PrefixHitRate: ratio(m.hitTokens, m.promptTokens), ImportedRatio: ratio(m.imported, m.promptTokens),
-		TTFTP50: milliseconds(m.all, 50), TTFTP99: milliseconds(m.all, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
+		TTFTP50: milliseconds(m.ttft, 50), TTFTP99: milliseconds(m.ttft, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
 		RecomputedRatio: ratio(m.recomputed, m.promptTokens), RejectedRatio: ratio(m.rejected, m.rejected+m.completed),
 		Completed: m.completed, Goodput: float64(m.inTime) / (m.run.options.Length - warmUp).Seconds(),
-		firstToken: m.all, byCause: m.byCause, Scale: m.run.options.Scale,
+		firstToken: m.ttft, byCause: m.byCause, Scale: m.run.options.Scale,
 	}
 	if m.promptTokens > 0 {
 		row.RecomputedCachedElsewhere = m.byCause[causeCachedElsewhere] / float64(m.promptTokens)
