--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -51,27 +51,27 @@
 
 // measure collects the results of a run. Requests sent before the warm-up ends are not counted.
 type measure struct {
-	run            *run
-	promptTokens   int
-	hitTokens      int
-	imported       int
-	recomputed     int
-	completed      int
-	rejected       int
-	inTime         int
-	ttft           *hdrhistogram.Histogram
-	interactive    *hdrhistogram.Histogram
-	computedBlocks map[prefix.Hash]bool
-	hitBySecond    [][2]int // hit and prompt tokens
-	byCause        [causeCount]float64
+	run             *run
+	promptTokens    int
+	hitTokens       int
+	imported        int
+	recomputed      int
+	completed       int
+	rejected        int
+	inTime          int
+	ttft            *hdrhistogram.Histogram
+	interactiveTTFT *hdrhistogram.Histogram
+	computedBlocks  map[prefix.Hash]bool
+	hitBySecond     [][2]int // hit and prompt tokens
+	byCause         [causeCount]float64
 }
 
 func newMeasure(r *run) *measure {
 	return &measure{
 		run: r, computedBlocks: map[prefix.Hash]bool{},
-		ttft:        hdrhistogram.New(1, histogramHighest, histogramDigits),
-		interactive: hdrhistogram.New(1, histogramHighest, histogramDigits),
-		hitBySecond: make([][2]int, int(r.options.totalLength()/time.Second)+2),
+		ttft:            hdrhistogram.New(1, histogramHighest, histogramDigits),
+		interactiveTTFT: hdrhistogram.New(1, histogramHighest, histogramDigits),
+		hitBySecond:     make([][2]int, int(r.options.totalLength()/time.Second)+2),
 	}
 }
 
@@ -116,7 +116,7 @@
 	_ = m.ttft.RecordValue(ttft.Microseconds()) // the histogram's range covers the whole run
 	deadline := m.run.deployment.Traffic.LongDeadline
 	if request.prompt.Short {
-		_ = m.interactive.RecordValue(ttft.Microseconds())
+		_ = m.interactiveTTFT.RecordValue(ttft.Microseconds())
 		deadline = m.run.deployment.Traffic.InteractiveDeadline
 	}
 	if ttft <= deadline {
@@ -150,7 +150,7 @@
 	row := Row{
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
 		PrefixHitRate: ratio(m.hitTokens, m.promptTokens), ImportedRatio: ratio(m.imported, m.promptTokens),
-		TTFTP50: milliseconds(m.ttft, 50), TTFTP99: milliseconds(m.ttft, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
+		TTFTP50: milliseconds(m.ttft, 50), TTFTP99: milliseconds(m.ttft, 99), InteractiveTTFTP99: milliseconds(m.interactiveTTFT, 99),
 		RecomputedRatio: ratio(m.recomputed, m.promptTokens), RejectedRatio: ratio(m.rejected, m.rejected+m.completed),
 		Completed: m.completed, Goodput: float64(m.inTime) / (m.run.options.Length - warmUp).Seconds(),
 		firstToken: m.ttft, byCause: m.byCause, Scale: m.run.options.Scale,
