--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -65,7 +65,7 @@
 	const tokens = 5
 	sendAtRate(latencyRate, roundDuration/2, p.routed(tokens)) // warm up connections
 	sendAtRate(latencyRate, roundDuration/2, p.direct(tokens))
-	var routedMedians, tails, directMedians, directTails float64
+	var routedMedians, routedTails, directMedians, directTails float64
 	for range rounds {
 		direct, directFailed := sendAtRate(latencyRate, roundDuration, p.direct(tokens))
 		routed, routedFailed := sendAtRate(latencyRate, roundDuration, p.routed(tokens))
@@ -73,13 +73,13 @@
 			return eris.Errorf("%d direct and %d routed requests failed", directFailed, routedFailed)
 		}
 		directMedians, directTails = directMedians+quantile(direct, 0.5), directTails+quantile(direct, 0.99)
-		routedMedians, tails = routedMedians+quantile(routed, 0.5), tails+quantile(routed, 0.99)
+		routedMedians, routedTails = routedMedians+quantile(routed, 0.5), routedTails+quantile(routed, 0.99)
 	}
 	n := float64(rounds)
 	report.addFigure(roleRouter, "first token through the router, median, 100 requests/s", "ms", routedMedians/n)
 	report.addFigure(roleRouter, "first token direct, median", "ms", directMedians/n)
 	report.addFigure(roleRouter, "added to the first token, median", "ms", (routedMedians-directMedians)/n)
-	report.addFigure(roleRouter, "added to the first token, p99", "ms", (tails-directTails)/n)
+	report.addFigure(roleRouter, "added to the first token, p99", "ms", (routedTails-directTails)/n)
 	return nil
 }
 
