--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -137,8 +137,8 @@
 	s.router.reply(e, s, event)
 }
 
-// longestCachedPrefix returns the engine, or the vault, that has the longest prefix of a chain cached, and its length in
-// blocks.
+// longestCachedPrefix returns the engine, or the vault, that has the longest prefix of a chain cached, and the length of
+// that prefix in blocks.
 func (r *run) longestCachedPrefix(chain []prefix.Hash) (string, int) {
 	source, longest := "", 0
 	for _, e := range r.engines {
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -31,12 +31,13 @@
 	CrashZone    bool          // crash all engines of a zone instead of one
 	DayLength    time.Duration // length of the daily cycle of demand; 0 for none
 	BlockTokens  int           // tokens in a cache block; 0 means 64
-	HashDepth    int           // blocks hashed by the hash policies; 0 means preamble, template and the start of the document
+	HashDepth    int           // blocks hashed by the hash policies; 0 means the default
 }
 
 // hashedDocumentBlocks is how many blocks of the document the hash policies include by default.
 const hashedDocumentBlocks = 8
 
+// hashDepth covers, by default, the preamble, the template and the start of the document.
 func (o Options) hashDepth() int {
 	if o.HashDepth > 0 {
 		return o.HashDepth
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -146,7 +146,8 @@
 // measureStreams measures the heap memory of open streams, including their callers and engines in this process.
 func (p *dataPath) measureStreams(report *Report, sizes []int, openDuration time.Duration) error {
 	const tokenInterval, settleTime = 100 * time.Millisecond, 500 * time.Millisecond
-	tokens := int((openDuration + 2*settleTime) / tokenInterval) // keeps the first stream open until the last one has been opened
+	// The first stream stays open until the last one has been opened.
+	tokens := int((openDuration + 2*settleTime) / tokenInterval)
 	var points []Point
 	for _, size := range sizes {
 		p.engines.tokenInterval = tokenInterval
