--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -17,7 +17,7 @@
 // The invariants, in the order of the brief.
 const (
 	CacheIsolation Invariant = "cache-isolation"
-	StreamWhole    Invariant = "stream-whole"
+	StreamComplete Invariant = "stream-whole"
 	RestartServes  Invariant = "restart-serves"
 	OwnAnswer      Invariant = "own-answer"
 	NotRunTrue     Invariant = "not-run-true"
@@ -46,7 +46,7 @@
 func Invariants() []InvariantHelp {
 	return []InvariantHelp{
 		{CacheIsolation, "each reused block was computed by this life of the engine, or copied, for the same tenant, weights and text; no job relies on another life"},
-		{StreamWhole, "a caller gets every token once and in order, and an end only after the last"},
+		{StreamComplete, "a caller gets every token once and in order, and an end only after the last"},
 		{RestartServes, "a router with synced settings never refuses for want of settings, nor for want of a lease while control is well"},
 		{OwnAnswer, "each token and answer belongs to the caller's own request, and every request gets a final answer"},
 		{NotRunTrue, "no back end took a request, before or after, that was refused as not run"},
@@ -233,7 +233,7 @@
 	switch {
 	case chunk.Text == wanted && chunk.Index == run.next:
 	case len(chunk.Text) > len(run.job.name) && chunk.Text[:len(run.job.name)+1] == run.job.name+":":
-		o.fail(StreamWhole, "%s got token %d as %q, wanted %q", run.job.name, chunk.Index, chunk.Text, wanted)
+		o.fail(StreamComplete, "%s got token %d as %q, wanted %q", run.job.name, chunk.Index, chunk.Text, wanted)
 	default:
 		o.fail(OwnAnswer, "%s got %q of another request, wanted %q", run.job.name, chunk.Text, wanted)
 	}
@@ -252,7 +252,7 @@
 		return
 	}
 	if run.next != run.job.maxTokens || final.Tokens != run.job.maxTokens {
-		o.fail(StreamWhole, "%s ended as complete after token %d of %d", run.job.name, run.next, run.job.maxTokens)
+		o.fail(StreamComplete, "%s ended as complete after token %d of %d", run.job.name, run.next, run.job.maxTokens)
 	}
 }
 
