--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -16,15 +16,15 @@
 
 // The invariants, in the order of the brief.
 const (
-	CacheIsolation Invariant = "cache-isolation"
-	StreamComplete Invariant = "stream-whole"
-	RestartServes  Invariant = "restart-serves"
-	OwnAnswer      Invariant = "own-answer"
-	NotRunTrue     Invariant = "not-run-true"
-	AtMostOnce     Invariant = "at-most-once"
-	LeavingNoWork  Invariant = "leaving-no-new-work"
-	PlannedStop    Invariant = "planned-stop"
-	SettingsHold   Invariant = "settings-hold"
+	CacheIsolation     Invariant = "cache-isolation"
+	StreamComplete     Invariant = "stream-whole"
+	ServesAfterRestart Invariant = "restart-serves"
+	OwnAnswer          Invariant = "own-answer"
+	NotRunTrue         Invariant = "not-run-true"
+	AtMostOnce         Invariant = "at-most-once"
+	LeavingNoWork      Invariant = "leaving-no-new-work"
+	PlannedStop        Invariant = "planned-stop"
+	SettingsHold       Invariant = "settings-hold"
 )
 
 // Rules beside the brief's lines.
@@ -47,7 +47,7 @@
 	return []InvariantHelp{
 		{CacheIsolation, "each reused block was computed by this life of the engine, or copied, for the same tenant, weights and text; no job relies on another life"},
 		{StreamComplete, "a caller gets every token once and in order, and an end only after the last"},
-		{RestartServes, "a router with synced settings never refuses for want of settings, nor for want of a lease while control is well"},
+		{ServesAfterRestart, "a router with synced settings never refuses for want of settings, nor for want of a lease while control is well"},
 		{OwnAnswer, "each token and answer belongs to the caller's own request, and every request gets a final answer"},
 		{NotRunTrue, "no back end took a request, before or after, that was refused as not run"},
 		{AtMostOnce, "no idempotency key runs twice"},
@@ -189,11 +189,11 @@
 	}
 	servesLast := r.zone == serveLastZone && r.saved.Version > 0
 	if servesLast {
-		o.fail(RestartServes, "%s refused %s as %s although it holds settings %d", r.name, run.job.name, final.Reason, r.saved.Version)
+		o.fail(ServesAfterRestart, "%s refused %s as %s although it holds settings %d", r.name, run.job.name, final.Reason, r.saved.Version)
 	}
 	calm := o.accepted > 0 && o.w.now() > max(o.controlFault, r.resumedAt, o.firstAccept)+calmNeeded
 	if calm && r.saved.Version > 0 {
-		o.fail(RestartServes, "%s refused %s as %s while control was well", r.name, run.job.name, final.Reason)
+		o.fail(ServesAfterRestart, "%s refused %s as %s while control was well", r.name, run.job.name, final.Reason)
 	}
 }
 
