--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -19,7 +19,7 @@
 	CacheIsolation     Invariant = "cache-isolation"
 	StreamComplete     Invariant = "stream-whole"
 	ServesAfterRestart Invariant = "restart-serves"
-	OwnAnswer          Invariant = "own-answer"
+	CorrectResponse    Invariant = "own-answer"
 	NotRunTrue         Invariant = "not-run-true"
 	AtMostOnce         Invariant = "at-most-once"
 	LeavingNoWork      Invariant = "leaving-no-new-work"
@@ -48,7 +48,7 @@
 		{CacheIsolation, "each reused block was computed by this life of the engine, or copied, for the same tenant, weights and text; no job relies on another life"},
 		{StreamComplete, "a caller gets every token once and in order, and an end only after the last"},
 		{ServesAfterRestart, "a router with synced settings never refuses for want of settings, nor for want of a lease while control is well"},
-		{OwnAnswer, "each token and answer belongs to the caller's own request, and every request gets a final answer"},
+		{CorrectResponse, "each token and answer belongs to the caller's own request, and every request gets a final answer"},
 		{NotRunTrue, "no back end took a request, before or after, that was refused as not run"},
 		{AtMostOnce, "no idempotency key runs twice"},
 		{LeavingNoWork, "a back end is sent nothing more than four seconds after the machine list says that it leaves"},
@@ -235,7 +235,7 @@
 	case len(chunk.Text) > len(run.job.name) && chunk.Text[:len(run.job.name)+1] == run.job.name+":":
 		o.fail(StreamComplete, "%s got token %d as %q, wanted %q", run.job.name, chunk.Index, chunk.Text, wanted)
 	default:
-		o.fail(OwnAnswer, "%s got %q of another request, wanted %q", run.job.name, chunk.Text, wanted)
+		o.fail(CorrectResponse, "%s got %q of another request, wanted %q", run.job.name, chunk.Text, wanted)
 	}
 }
 
@@ -247,7 +247,7 @@
 	o.complete++
 	if run.job.small {
 		if got := answerOf(final.Answer); got != run.job.answer() {
-			o.fail(OwnAnswer, "%s got the answer %q", run.job.name, got)
+			o.fail(CorrectResponse, "%s got the answer %q", run.job.name, got)
 		}
 		return
 	}
--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -87,7 +87,7 @@
 func (o *oracle) checkAnswered() {
 	for _, run := range o.w.callers.open {
 		if !run.over {
-			o.fail(OwnAnswer, "%s, sent to %s, was never answered", run.job.name, run.router.name)
+			o.fail(CorrectResponse, "%s, sent to %s, was never answered", run.job.name, run.router.name)
 			return
 		}
 	}
