--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -20,7 +20,7 @@
 	StreamComplete     Invariant = "stream-whole"
 	ServesAfterRestart Invariant = "restart-serves"
 	CorrectResponse    Invariant = "own-answer"
-	NotRunTrue         Invariant = "not-run-true"
+	NotRunHonored      Invariant = "not-run-true"
 	AtMostOnce         Invariant = "at-most-once"
 	LeavingNoWork      Invariant = "leaving-no-new-work"
 	PlannedStop        Invariant = "planned-stop"
@@ -49,7 +49,7 @@
 		{StreamComplete, "a caller gets every token once and in order, and an end only after the last"},
 		{ServesAfterRestart, "a router with synced settings never refuses for want of settings, nor for want of a lease while control is well"},
 		{CorrectResponse, "each token and answer belongs to the caller's own request, and every request gets a final answer"},
-		{NotRunTrue, "no back end took a request, before or after, that was refused as not run"},
+		{NotRunHonored, "no back end took a request, before or after, that was refused as not run"},
 		{AtMostOnce, "no idempotency key runs twice"},
 		{LeavingNoWork, "a back end is sent nothing more than four seconds after the machine list says that it leaves"},
 		{PlannedStop, "a planned stop ends with no request in flight"},
@@ -127,7 +127,7 @@
 	run := s.request
 	run.ran = true
 	if o.notRunSends[run] {
-		o.fail(NotRunTrue, "%s took %s, which was refused as not run", e.name, run.job.name)
+		o.fail(NotRunHonored, "%s took %s, which was refused as not run", e.name, run.job.name)
 	}
 	if job.ExpectedCachedTokens > 0 && result == engine.Accepted && job.Incarnation != e.model.Incarnation {
 		o.fail(CacheIsolation, "%s, incarnation %d, runs %s relying on %d tokens of incarnation %d",
@@ -172,7 +172,7 @@
 		o.fail(AtMostOnce, "%s ran %d times, now on %s", key, o.runs[key], s.name)
 	}
 	if o.notRunSends[run] {
-		o.fail(NotRunTrue, "%s ran %s, which was refused as not run", s.name, key)
+		o.fail(NotRunHonored, "%s ran %s, which was refused as not run", s.name, key)
 	}
 }
 
@@ -181,7 +181,7 @@
 	if final.Run == core.RunNot {
 		o.notRunSends[run] = true
 		if run.ran || (run.job.small && o.runs[run.job.tenant+"/"+run.job.name] > 0) {
-			o.fail(NotRunTrue, "%s refused %s as not run (%s), but it ran", r.name, run.job.name, final.Reason)
+			o.fail(NotRunHonored, "%s refused %s as not run (%s), but it ran", r.name, run.job.name, final.Reason)
 		}
 	}
 	if final.Reason != core.ReasonNoLease && final.Reason != core.ReasonNoSettings {
