--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -63,7 +63,7 @@
 	for _, entry := range reply.Roster.Entries {
 		at, leaves := o.fleet.draining[entry.ID]
 		if leaves && at < floor.at && entry.State == catalog.StateReady {
-			o.fail(LeavingNoWork, "%s was told that %s is ready, %v after its draining had been acknowledged", gateway, entry.ID, floor.at-at)
+			o.fail(DrainRespected, "%s was told that %s is ready, %v after its draining had been acknowledged", gateway, entry.ID, floor.at-at)
 		}
 	}
 }
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -22,7 +22,7 @@
 	CorrectResponse    Invariant = "own-answer"
 	NotRunHonored      Invariant = "not-run-true"
 	AtMostOnce         Invariant = "at-most-once"
-	LeavingNoWork      Invariant = "leaving-no-new-work"
+	DrainRespected     Invariant = "leaving-no-new-work"
 	PlannedStop        Invariant = "planned-stop"
 	SettingsHold       Invariant = "settings-hold"
 )
@@ -51,7 +51,7 @@
 		{CorrectResponse, "each token and answer belongs to the caller's own request, and every request gets a final answer"},
 		{NotRunHonored, "no back end took a request, before or after, that was refused as not run"},
 		{AtMostOnce, "no idempotency key runs twice"},
-		{LeavingNoWork, "a back end is sent nothing more than four seconds after the machine list says that it leaves"},
+		{DrainRespected, "a back end is sent nothing more than four seconds after the machine list says that it leaves"},
 		{PlannedStop, "a planned stop ends with no request in flight"},
 		{SettingsHold, "an accepted change is in the history under its own version, is never undone, and no router decides by an older version once it is in force"},
 	}
@@ -139,7 +139,7 @@
 func (o *oracle) checkLeaving(r *routerNode, backend string) {
 	leftAt := o.w.drainingSince(backend)
 	if leftAt > 0 && o.w.now() > leftAt+leavingGrace {
-		o.fail(LeavingNoWork, "%s sent new work to %s %v after it was said to leave", r.name, backend, o.w.now()-leftAt)
+		o.fail(DrainRespected, "%s sent new work to %s %v after it was said to leave", r.name, backend, o.w.now()-leftAt)
 	}
 }
 
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -99,7 +99,7 @@
 		}
 	}
 	if at, left := o.said.drainingSince[p]; left && now > at+drainGrace {
-		o.fail(LeavingNoWork, "%s sent new work to %s %v after that one had said that it leaves", p.sender, p.backend, now-at)
+		o.fail(DrainRespected, "%s sent new work to %s %v after that one had said that it leaves", p.sender, p.backend, now-at)
 	}
 }
 
