--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -191,7 +191,7 @@
 	n.unsynced = append(n.unsynced, persist)
 	n.after(n.w.between(lateSyncMin, lateSyncMax), func() {
 		if err := n.disk.Apply(n.unsynced[0]); err != nil {
-			n.w.oracle.fail(SettingsHold, "%s acknowledged what it then couldn't store: %v", n.name, err)
+			n.w.oracle.fail(SettingsDurable, "%s acknowledged what it then couldn't store: %v", n.name, err)
 		}
 		n.unsynced = n.unsynced[1:]
 	})
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -55,7 +55,7 @@
 // checkWatchReply checks a confirmed view: it must hold everything that was acknowledged before it was asked for.
 func (o *oracle) checkWatchReply(gateway string, floor watchFloor, reply *control.WatchReply) {
 	if reply.Revision < floor.revision {
-		o.fail(SettingsHold, "%s was confirmed revision %d after %d had been acknowledged", gateway, reply.Revision, floor.revision)
+		o.fail(SettingsDurable, "%s was confirmed revision %d after %d had been acknowledged", gateway, reply.Revision, floor.revision)
 	}
 	if reply.Roster == nil {
 		return
@@ -73,11 +73,11 @@
 	content := document.Services[0].Name
 	known, seen := o.fleet.contents[document.Revision]
 	if seen && known != content {
-		o.fail(SettingsHold, "revision %d is both %s and %s", document.Revision, known, content)
+		o.fail(SettingsDurable, "revision %d is both %s and %s", document.Revision, known, content)
 	}
 	o.fleet.contents[document.Revision] = content
 	if document.Revision < o.fleet.usedRevision[gateway] {
-		o.fail(SettingsHold, "%s went back from revision %d to %d", gateway, o.fleet.usedRevision[gateway], document.Revision)
+		o.fail(SettingsDurable, "%s went back from revision %d to %d", gateway, o.fleet.usedRevision[gateway], document.Revision)
 	}
 	o.fleet.usedRevision[gateway] = document.Revision
 }
@@ -120,7 +120,7 @@
 func (o *oracle) checkFleetSettled() {
 	for _, g := range o.w.gateways {
 		if g.revision < o.fleet.acknowledged {
-			o.fail(SettingsHold, "%s rests at revision %d, %d was acknowledged", g.process.name, g.revision, o.fleet.acknowledged)
+			o.fail(SettingsDurable, "%s rests at revision %d, %d was acknowledged", g.process.name, g.revision, o.fleet.acknowledged)
 		}
 	}
 	for _, b := range o.w.backends {
@@ -129,6 +129,6 @@
 		}
 	}
 	if o.fleet.acknowledged == 0 {
-		o.fail(SettingsHold, "no document was ever acknowledged: %s", fmt.Sprint(o.fleet.contents))
+		o.fail(SettingsDurable, "no document was ever acknowledged: %s", fmt.Sprint(o.fleet.contents))
 	}
 }
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -24,7 +24,7 @@
 	AtMostOnce         Invariant = "at-most-once"
 	DrainRespected     Invariant = "leaving-no-new-work"
 	PlannedStop        Invariant = "planned-stop"
-	SettingsHold       Invariant = "settings-hold"
+	SettingsDurable    Invariant = "settings-hold"
 )
 
 // Rules beside the brief's lines.
@@ -53,7 +53,7 @@
 		{AtMostOnce, "no idempotency key runs twice"},
 		{DrainRespected, "a back end is sent nothing more than four seconds after the machine list says that it leaves"},
 		{PlannedStop, "a planned stop ends with no request in flight"},
-		{SettingsHold, "an accepted change is in the history under its own version, is never undone, and no router decides by an older version once it is in force"},
+		{SettingsDurable, "an accepted change is in the history under its own version, is never undone, and no router decides by an older version once it is in force"},
 	}
 }
 
@@ -158,7 +158,7 @@
 // engineLoads checks that an engine never carries out an older order after a newer one.
 func (o *oracle) engineLoads(e *engineNode, call control.EngineCall) {
 	if call.Fence.Less(e.ordered) {
-		o.fail(SettingsHold, "%s loads %s by order %d/%d after order %d/%d",
+		o.fail(SettingsDurable, "%s loads %s by order %d/%d after order %d/%d",
 			e.name, call.Order.Weights, call.Fence.Term, call.Fence.Sequence, e.ordered.Term, e.ordered.Sequence)
 	}
 	e.ordered = call.Fence
@@ -204,7 +204,7 @@
 		return
 	}
 	if action.SettingsVersion < o.inForce {
-		o.fail(SettingsHold, "%s decided on %s by version %d after version %d was in force", r.name, run.job.name, action.SettingsVersion, o.inForce)
+		o.fail(SettingsDurable, "%s decided on %s by version %d after version %d was in force", r.name, run.job.name, action.SettingsVersion, o.inForce)
 	}
 }
 
@@ -215,7 +215,7 @@
 		return
 	}
 	if used := o.routerUsed[r.name]; version < used {
-		o.fail(SettingsHold, "%s went back from version %d to %d", r.name, used, version)
+		o.fail(SettingsDurable, "%s went back from version %d to %d", r.name, used, version)
 	}
 	o.routerUsed[r.name] = version
 }
@@ -267,7 +267,7 @@
 // operatorRead checks that reads are never older than what was known when they began.
 func (o *oracle) operatorRead(name string, floor uint64, read *control.ReadReply) {
 	if read.Version < floor {
-		o.fail(SettingsHold, "%s read version %d after version %d was accepted", name, read.Version, floor)
+		o.fail(SettingsDurable, "%s read version %d after version %d was accepted", name, read.Version, floor)
 	}
 	o.acknowledged = max(o.acknowledged, read.Version)
 }
@@ -276,7 +276,7 @@
 func (o *oracle) operatorTold(change settings.Change, outcome settings.Outcome) {
 	first, known := o.outcomes[change.OperationID]
 	if known && (first.Kind != outcome.Kind || first.Version != outcome.Version) {
-		o.fail(SettingsHold, "%s was told %s at %d, then %s at %d", change.OperationID, first.Kind, first.Version, outcome.Kind, outcome.Version)
+		o.fail(SettingsDurable, "%s was told %s at %d, then %s at %d", change.OperationID, first.Kind, first.Version, outcome.Kind, outcome.Version)
 	}
 	if known {
 		return
@@ -291,10 +291,10 @@
 	}
 	o.accepted++
 	if outcome.Version != change.Base+1 {
-		o.fail(SettingsHold, "%s edited version %d and became version %d: another change was overwritten", change.OperationID, change.Base, outcome.Version)
+		o.fail(SettingsDurable, "%s edited version %d and became version %d: another change was overwritten", change.OperationID, change.Base, outcome.Version)
 	}
 	if other, taken := o.versions[outcome.Version]; taken {
-		o.fail(SettingsHold, "%s and %s were both accepted as version %d", other, change.OperationID, outcome.Version)
+		o.fail(SettingsDurable, "%s and %s were both accepted as version %d", other, change.OperationID, outcome.Version)
 	}
 	o.versions[outcome.Version] = change.OperationID
 	o.acknowledged = max(o.acknowledged, outcome.Version)
--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -13,7 +13,7 @@
 	}
 	leader := o.w.leader()
 	if leader == nil {
-		o.fail(SettingsHold, "no control replica leads %v after all faults have healed", settleTime)
+		o.fail(SettingsDurable, "no control replica leads %v after all faults have healed", settleTime)
 		return
 	}
 	o.checkMembers(leader)
@@ -29,7 +29,7 @@
 	membership := leader.replica.Node().Membership()
 	for _, n := range o.w.controls {
 		if _, member := membership.Find(n.identity.ID); !member {
-			o.fail(SettingsHold, "%s (%s) is no member of the group any more", n.name, n.identity.ID)
+			o.fail(SettingsDurable, "%s (%s) is no member of the group any more", n.name, n.identity.ID)
 			return
 		}
 	}
@@ -39,7 +39,7 @@
 func (o *oracle) checkHistory(leader *controlNode) {
 	final := leader.replica.Machine().Settings()
 	if final.Version() < o.acknowledged {
-		o.fail(SettingsHold, "the tree is at version %d after version %d was accepted", final.Version(), o.acknowledged)
+		o.fail(SettingsDurable, "the tree is at version %d after version %d was accepted", final.Version(), o.acknowledged)
 		return
 	}
 	inHistory := map[string]uint64{}
@@ -51,7 +51,7 @@
 		version, found := inHistory[id]
 		accepted := outcome.Kind == settings.OutcomeAccepted
 		if found != accepted || (found && version != outcome.Version) {
-			o.fail(SettingsHold, "%s was told %s at version %d, the history has it at %d", id, outcome.Kind, outcome.Version, version)
+			o.fail(SettingsDurable, "%s was told %s at version %d, the history has it at %d", id, outcome.Kind, outcome.Version, version)
 			return
 		}
 	}
@@ -62,12 +62,12 @@
 	newest := leader.replica.Machine().Settings().Version()
 	for _, r := range o.w.routers {
 		if r.core.SettingsVersion() != newest || !r.core.LeaseValid() {
-			o.fail(SettingsHold, "%s uses version %d, lease=%v, while version %d is the newest", r.name, r.core.SettingsVersion(), r.core.LeaseValid(), newest)
+			o.fail(SettingsDurable, "%s uses version %d, lease=%v, while version %d is the newest", r.name, r.core.SettingsVersion(), r.core.LeaseValid(), newest)
 			return
 		}
 	}
 	if inForce := leader.replica.InForce(leader.clock()); inForce != newest {
-		o.fail(SettingsHold, "version %d is in force, version %d is the newest", inForce, newest)
+		o.fail(SettingsDurable, "version %d is in force, version %d is the newest", inForce, newest)
 	}
 }
 
@@ -77,7 +77,7 @@
 	for _, e := range o.w.engines {
 		wanted := tree.Resolve(e.zone, modelService).WeightsVersion
 		if e.model.Weights != wanted {
-			o.fail(SettingsHold, "%s holds weights %s, the tree wants %s", e.name, e.model.Weights, wanted)
+			o.fail(SettingsDurable, "%s holds weights %s, the tree wants %s", e.name, e.model.Weights, wanted)
 			return
 		}
 	}
