--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -142,7 +142,7 @@
 		return
 	}
 	if g.w.guards.On(guard.QuarantineCheck) && g.crashes.CrashCount(hotRequest) >= quarantine.QuarantineThreshold {
-		g.w.oracle.fail(HeldBackTrue, "%s holds a request back that ends well, for %d lives", g.process.name, g.crashes.CrashCount(hotRequest))
+		g.w.oracle.fail(QuarantineEnforced, "%s holds a request back that ends well, for %d lives", g.process.name, g.crashes.CrashCount(hotRequest))
 	}
 	if g.crashes.RecordCompletion(g.clock(), hotRequest) {
 		g.release(hotRequest)
@@ -167,7 +167,7 @@
 	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thresholdAt)+quarantineContactTime
 	if d.crashes >= quarantine.QuarantineThreshold && well {
 		if d.excessSends++; d.excessSends > maxFatalSends {
-			o.fail(HeldBackTrue, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.crashes, now-d.thresholdAt)
+			o.fail(QuarantineEnforced, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.crashes, now-d.thresholdAt)
 		}
 	}
 	if d.crashes++; d.crashes == quarantine.QuarantineThreshold {
