--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -99,11 +99,11 @@
 		}
 		day := naming.maxSkew - naming.minSkew + wallClockRounding
 		if late := now - naming.ackedAt - oldWeightsStartLimit - clockSlack - day; naming.acked && late > 0 {
-			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-naming.ackedAt, version)
+			o.fail(OldWeightsLimitRespected, "%s begins on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-naming.ackedAt, version)
 		}
 		heard, told := o.fleet.publicationSeenAt[gateway][version]
 		if late := now - heard - oldWeightsStartLimit - clockSlack; told && late > 0 {
-			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after it heard of %d", gateway, b.version, b.id, now-heard, version)
+			o.fail(OldWeightsLimitRespected, "%s begins on weights %d of %s %v after it heard of %d", gateway, b.version, b.id, now-heard, version)
 		}
 	}
 }
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -29,11 +29,11 @@
 
 // Rules beside the brief's lines.
 const (
-	QuarantineEnforced Invariant = "held-back"
-	WeightsInTime      Invariant = "weights-in-time"
-	RestGiven          Invariant = "rest-given"
-	LimitKept          Invariant = "limit-kept"
-	BuildsKnown        Invariant = "builds-known"
+	QuarantineEnforced       Invariant = "held-back"
+	OldWeightsLimitRespected Invariant = "weights-in-time"
+	RestGiven                Invariant = "rest-given"
+	LimitKept                Invariant = "limit-kept"
+	BuildsKnown              Invariant = "builds-known"
 )
 
 // InvariantHelp describes an invariant and how it is checked.
@@ -61,7 +61,7 @@
 func FleetRules() []InvariantHelp {
 	return []InvariantHelp{
 		{QuarantineEnforced, "a request that ends whoever runs it gets three back ends more at the most, once the news of the third had time; one that ends well is never held back"},
-		{WeightsInTime, "no request begins on older weights later than the limit after newer ones were acknowledged, nor after its gateway first heard of them"},
+		{OldWeightsLimitRespected, "no request begins on older weights later than the limit after newer ones were acknowledged, nor after its gateway first heard of them"},
 		{RestGiven, "a back end that asked a gateway or router for rest gets two requests more from it at the most, from half a second later to the end of that time"},
 		{LimitKept, "from 3 s after a back end first named a limit it gets in any 4 s one and a half times what that allows and 5 more at the most, from all gateways or routers together that had heard of it half a second before"},
 		{BuildsKnown, "where control processes run two builds, none holds what its build doesn't know, and no level comes into force under one that runs the older"},
