--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -95,7 +95,7 @@
 			continue
 		}
 		if window.requests++; window.requests > maxBackoffRequests {
-			o.fail(RestGiven, "%s sent %s %d requests in a rest that ends in %v", p.sender, p.backend, window.requests, window.until-now)
+			o.fail(BackoffRespected, "%s sent %s %d requests in a rest that ends in %v", p.sender, p.backend, window.requests, window.until-now)
 		}
 	}
 	if at, left := o.said.drainingSince[p]; left && now > at+drainGrace {
