--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -131,7 +131,7 @@
 	life.sends = window.Add(life.sends, now)
 	allowed := window.Allowed(n.highest(now-window.Length-limitChangeGrace, now))
 	if now >= n.from+limitGrace && float64(len(life.sends)) > allowed {
-		o.fail(LimitKept, "%s got %d requests in %v from processes that had heard its limit, %.1f allowed, the last from %s", p.backend, len(life.sends), window.Length, allowed, p.sender)
+		o.fail(AdvertisedLimitRespected, "%s got %d requests in %v from processes that had heard its limit, %.1f allowed, the last from %s", p.backend, len(life.sends), window.Length, allowed, p.sender)
 	}
 }
 
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -32,7 +32,7 @@
 	QuarantineEnforced       Invariant = "held-back"
 	OldWeightsLimitRespected Invariant = "weights-in-time"
 	BackoffRespected         Invariant = "rest-given"
-	LimitKept                Invariant = "limit-kept"
+	AdvertisedLimitRespected Invariant = "limit-kept"
 	BuildsKnown              Invariant = "builds-known"
 )
 
@@ -63,7 +63,7 @@
 		{QuarantineEnforced, "a request that ends whoever runs it gets three back ends more at the most, once the news of the third had time; one that ends well is never held back"},
 		{OldWeightsLimitRespected, "no request begins on older weights later than the limit after newer ones were acknowledged, nor after its gateway first heard of them"},
 		{BackoffRespected, "a back end that asked a gateway or router for rest gets two requests more from it at the most, from half a second later to the end of that time"},
-		{LimitKept, "from 3 s after a back end first named a limit it gets in any 4 s one and a half times what that allows and 5 more at the most, from all gateways or routers together that had heard of it half a second before"},
+		{AdvertisedLimitRespected, "from 3 s after a back end first named a limit it gets in any 4 s one and a half times what that allows and 5 more at the most, from all gateways or routers together that had heard of it half a second before"},
 		{BuildsKnown, "where control processes run two builds, none holds what its build doesn't know, and no level comes into force under one that runs the older"},
 	}
 }
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -92,7 +92,7 @@
 			t.Errorf("seed %d breaks %s at %v: %s", seed, result.Violation.Invariant, result.Violation.At, result.Violation.Detail)
 		}
 	}
-	if result := RunLarge(300, 4, guard.Without(guard.AdvertisedLimitCheck)); result.Violation == nil || result.Violation.Invariant != LimitKept {
+	if result := RunLarge(300, 4, guard.Without(guard.AdvertisedLimitCheck)); result.Violation == nil || result.Violation.Invariant != AdvertisedLimitRespected {
 		t.Errorf("without the check: %+v", result.Violation)
 	}
 }
