--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -67,7 +67,7 @@
 // restartWithNewBuild lets a control process that is too old for its own files, or for the group, come back as the newer build.
 func (n *controlNode) restartWithNewBuild(err error) {
 	if !errors.Is(err, level.ErrTooOld) || n.build == newBuild {
-		n.w.oracle.fail(BuildsKnown, "%s of level %d: %v", n.name, n.build, err)
+		n.w.oracle.fail(BuildsCompatible, "%s of level %d: %v", n.name, n.build, err)
 		return
 	}
 	n.w.logf("%s ends, too old: %v", n.name, err)
@@ -91,10 +91,10 @@
 	_, member := n.w.raised.members.Find(n.identity.ID)
 	switch {
 	case err != nil && member && n.startedAt+levelRaiseGrace < n.w.raised.at:
-		n.w.oracle.fail(BuildsKnown, "%s of level %d had run for %v when level %d came into force", n.name, n.build, n.w.raised.at-n.startedAt, n.w.raised.level)
+		n.w.oracle.fail(BuildsCompatible, "%s of level %d had run for %v when level %d came into force", n.name, n.build, n.w.raised.at-n.startedAt, n.w.raised.level)
 	case err != nil:
 		n.restartWithNewBuild(err)
 	case held > n.build:
-		n.w.oracle.fail(BuildsKnown, "%s of level %d runs on a state of level %d", n.name, n.build, held)
+		n.w.oracle.fail(BuildsCompatible, "%s of level %d runs on a state of level %d", n.name, n.build, held)
 	}
 }
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -33,7 +33,7 @@
 	OldWeightsLimitRespected Invariant = "weights-in-time"
 	BackoffRespected         Invariant = "rest-given"
 	AdvertisedLimitRespected Invariant = "limit-kept"
-	BuildsKnown              Invariant = "builds-known"
+	BuildsCompatible         Invariant = "builds-known"
 )
 
 // InvariantHelp describes an invariant and how it is checked.
@@ -64,7 +64,7 @@
 		{OldWeightsLimitRespected, "no request begins on older weights later than the limit after newer ones were acknowledged, nor after its gateway first heard of them"},
 		{BackoffRespected, "a back end that asked a gateway or router for rest gets two requests more from it at the most, from half a second later to the end of that time"},
 		{AdvertisedLimitRespected, "from 3 s after a back end first named a limit it gets in any 4 s one and a half times what that allows and 5 more at the most, from all gateways or routers together that had heard of it half a second before"},
-		{BuildsKnown, "where control processes run two builds, none holds what its build doesn't know, and no level comes into force under one that runs the older"},
+		{BuildsCompatible, "where control processes run two builds, none holds what its build doesn't know, and no level comes into force under one that runs the older"},
 	}
 }
 
