--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -33,7 +33,7 @@
 func (n *controlNode) stallDisk(length time.Duration) {
 	n.w.logf("%s: its disk stalls for %v", n.name, length)
 	n.stallsTo = n.w.now() + length
-	n.w.recordControlDisturbance(length + calmNeeded)
+	n.w.recordControlDisturbance(length + recoveryTime)
 }
 
 // faultStallOrder stalls the disk of a leader between the decision and the send of an order, once weights are named.
@@ -48,7 +48,7 @@
 	behind := pick(w, w.controls)
 	length := w.between(2*time.Second, 6*time.Second)
 	w.after(length, w.partitionZone(behind.zone))
-	w.recordControlDisturbance(length + calmNeeded)
+	w.recordControlDisturbance(length + recoveryTime)
 	w.after(length+w.between(0, 50*time.Millisecond), func() {
 		for _, n := range w.controls {
 			if n != behind {
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -77,7 +77,7 @@
 
 const (
 	leavingGrace = 4 * time.Second
-	calmNeeded   = 8 * time.Second // without control faults, after which a router must get its lease
+	recoveryTime = 8 * time.Second // without control faults, after which a router must get its lease
 )
 
 // oracle is the simple model of what callers and operators saw, and of what back ends did.
@@ -191,7 +191,7 @@
 	if servesLast {
 		o.fail(ServesAfterRestart, "%s refused %s as %s although it holds settings %d", r.name, run.job.name, final.Reason, r.saved.Version)
 	}
-	calm := o.accepted > 0 && o.w.now() > max(o.controlFault, r.resumedAt, o.firstAccept)+calmNeeded
+	calm := o.accepted > 0 && o.w.now() > max(o.controlFault, r.resumedAt, o.firstAccept)+recoveryTime
 	if calm && r.saved.Version > 0 {
 		o.fail(ServesAfterRestart, "%s refused %s as %s while control was well", r.name, run.job.name, final.Reason)
 	}
