--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -89,7 +89,7 @@
 	changes   int
 	accepted  int
 
-	runs         map[string]int // by key
+	runsByKey    map[string]int // by key
 	notRunSends  map[*exchange]bool
 	outcomes     map[string]settings.Outcome // first outcome told, by operation id
 	versions     map[uint64]string           // operation id by accepted version
@@ -107,7 +107,7 @@
 
 func newOracle(w *world) *oracle {
 	return &oracle{
-		w: w, runs: map[string]int{}, notRunSends: map[*exchange]bool{},
+		w: w, runsByKey: map[string]int{}, notRunSends: map[*exchange]bool{},
 		outcomes: map[string]settings.Outcome{}, versions: map[uint64]string{}, routerUsed: map[string]uint64{},
 		fleet: newFleetOracle(), said: newSignalOracle(), limits: limitOracle{}, deadly: map[quarantine.Fingerprint]*fatalRequest{},
 	}
@@ -167,9 +167,9 @@
 func (o *oracle) serviceRan(s *serviceNode, run *exchange) {
 	run.ran = true
 	key := run.job.tenant + "/" + run.job.name
-	o.runs[key]++
-	if o.runs[key] > 1 {
-		o.fail(AtMostOnce, "%s ran %d times, now on %s", key, o.runs[key], s.name)
+	o.runsByKey[key]++
+	if o.runsByKey[key] > 1 {
+		o.fail(AtMostOnce, "%s ran %d times, now on %s", key, o.runsByKey[key], s.name)
 	}
 	if o.notRunSends[run] {
 		o.fail(NotRunHonored, "%s ran %s, which was refused as not run", s.name, key)
@@ -180,7 +180,7 @@
 func (o *oracle) routerFinished(r *routerNode, run *exchange, final core.ActionFinish) {
 	if final.Run == core.RunNot {
 		o.notRunSends[run] = true
-		if run.ran || (run.job.small && o.runs[run.job.tenant+"/"+run.job.name] > 0) {
+		if run.ran || (run.job.small && o.runsByKey[run.job.tenant+"/"+run.job.name] > 0) {
 			o.fail(NotRunHonored, "%s refused %s as not run (%s), but it ran", r.name, run.job.name, final.Reason)
 		}
 	}
