--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -89,25 +89,25 @@
 	changes   int
 	accepted  int
 
-	runsByKey    map[string]int // by key
-	notRunSends  map[*exchange]bool
-	outcomes     map[string]settings.Outcome // first outcome told, by operation id
-	versions     map[uint64]string           // operation id by accepted version
-	acknowledged uint64                      // highest version anybody was told of
-	inForce      uint64                      // highest version said to be in force
-	routerUsed   map[string]uint64           // newest version a router decided by
-	firstAccept  time.Duration               // when the first change was accepted
-	controlFault time.Duration               // end of the newest fault that may have stopped control
-	fleet        fleetOracle
-	said         signalOracle
-	limits       limitOracle
-	deadly       map[quarantine.Fingerprint]*fatalRequest
-	deadlies     int
+	runsByKey      map[string]int // by key
+	reportedNotRun map[*exchange]bool
+	outcomes       map[string]settings.Outcome // first outcome told, by operation id
+	versions       map[uint64]string           // operation id by accepted version
+	acknowledged   uint64                      // highest version anybody was told of
+	inForce        uint64                      // highest version said to be in force
+	routerUsed     map[string]uint64           // newest version a router decided by
+	firstAccept    time.Duration               // when the first change was accepted
+	controlFault   time.Duration               // end of the newest fault that may have stopped control
+	fleet          fleetOracle
+	said           signalOracle
+	limits         limitOracle
+	deadly         map[quarantine.Fingerprint]*fatalRequest
+	deadlies       int
 }
 
 func newOracle(w *world) *oracle {
 	return &oracle{
-		w: w, runsByKey: map[string]int{}, notRunSends: map[*exchange]bool{},
+		w: w, runsByKey: map[string]int{}, reportedNotRun: map[*exchange]bool{},
 		outcomes: map[string]settings.Outcome{}, versions: map[uint64]string{}, routerUsed: map[string]uint64{},
 		fleet: newFleetOracle(), said: newSignalOracle(), limits: limitOracle{}, deadly: map[quarantine.Fingerprint]*fatalRequest{},
 	}
@@ -126,7 +126,7 @@
 func (o *oracle) engineTook(e *engineNode, job *engine.Job, s *sending, result engine.SubmitResult) {
 	run := s.request
 	run.ran = true
-	if o.notRunSends[run] {
+	if o.reportedNotRun[run] {
 		o.fail(NotRunHonored, "%s took %s, which was refused as not run", e.name, run.job.name)
 	}
 	if job.ExpectedCachedTokens > 0 && result == engine.Accepted && job.Incarnation != e.model.Incarnation {
@@ -171,7 +171,7 @@
 	if o.runsByKey[key] > 1 {
 		o.fail(AtMostOnce, "%s ran %d times, now on %s", key, o.runsByKey[key], s.name)
 	}
-	if o.notRunSends[run] {
+	if o.reportedNotRun[run] {
 		o.fail(NotRunHonored, "%s ran %s, which was refused as not run", s.name, key)
 	}
 }
@@ -179,7 +179,7 @@
 // routerFinished checks a final answer at the moment the router gives it.
 func (o *oracle) routerFinished(r *routerNode, run *exchange, final core.ActionFinish) {
 	if final.Run == core.RunNot {
-		o.notRunSends[run] = true
+		o.reportedNotRun[run] = true
 		if run.ran || (run.job.small && o.runsByKey[run.job.tenant+"/"+run.job.name] > 0) {
 			o.fail(NotRunHonored, "%s refused %s as not run (%s), but it ran", r.name, run.job.name, final.Reason)
 		}
