--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -89,26 +89,26 @@
 	changes   int
 	accepted  int
 
-	runsByKey      map[string]int // by key
-	reportedNotRun map[*exchange]bool
-	outcomes       map[string]settings.Outcome // first outcome told, by operation id
-	versions       map[uint64]string           // operation id by accepted version
-	acknowledged   uint64                      // highest version anybody was told of
-	inForce        uint64                      // highest version said to be in force
-	routerUsed     map[string]uint64           // newest version a router decided by
-	firstAccept    time.Duration               // when the first change was accepted
-	controlFault   time.Duration               // end of the newest fault that may have stopped control
-	fleet          fleetOracle
-	said           signalOracle
-	limits         limitOracle
-	deadly         map[quarantine.Fingerprint]*fatalRequest
-	deadlies       int
+	runsByKey          map[string]int // by key
+	reportedNotRun     map[*exchange]bool
+	outcomes           map[string]settings.Outcome // first outcome told, by operation id
+	operationByVersion map[uint64]string           // operation id by accepted version
+	acknowledged       uint64                      // highest version anybody was told of
+	inForce            uint64                      // highest version said to be in force
+	routerUsed         map[string]uint64           // newest version a router decided by
+	firstAccept        time.Duration               // when the first change was accepted
+	controlFault       time.Duration               // end of the newest fault that may have stopped control
+	fleet              fleetOracle
+	said               signalOracle
+	limits             limitOracle
+	deadly             map[quarantine.Fingerprint]*fatalRequest
+	deadlies           int
 }
 
 func newOracle(w *world) *oracle {
 	return &oracle{
 		w: w, runsByKey: map[string]int{}, reportedNotRun: map[*exchange]bool{},
-		outcomes: map[string]settings.Outcome{}, versions: map[uint64]string{}, routerUsed: map[string]uint64{},
+		outcomes: map[string]settings.Outcome{}, operationByVersion: map[uint64]string{}, routerUsed: map[string]uint64{},
 		fleet: newFleetOracle(), said: newSignalOracle(), limits: limitOracle{}, deadly: map[quarantine.Fingerprint]*fatalRequest{},
 	}
 }
@@ -293,10 +293,10 @@
 	if outcome.Version != change.Base+1 {
 		o.fail(SettingsDurable, "%s edited version %d and became version %d: another change was overwritten", change.OperationID, change.Base, outcome.Version)
 	}
-	if other, taken := o.versions[outcome.Version]; taken {
+	if other, taken := o.operationByVersion[outcome.Version]; taken {
 		o.fail(SettingsDurable, "%s and %s were both accepted as version %d", other, change.OperationID, outcome.Version)
 	}
-	o.versions[outcome.Version] = change.OperationID
+	o.operationByVersion[outcome.Version] = change.OperationID
 	o.acknowledged = max(o.acknowledged, outcome.Version)
 	hooks := o.w.onAccept
 	o.w.onAccept = nil
