--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -95,7 +95,7 @@
 	operationByVersion map[uint64]string           // operation id by accepted version
 	acknowledged       uint64                      // highest version anybody was told of
 	inForce            uint64                      // highest version said to be in force
-	routerUsed         map[string]uint64           // newest version a router decided by
+	routerVersions     map[string]uint64           // newest version a router decided by
 	firstAccept        time.Duration               // when the first change was accepted
 	controlFault       time.Duration               // end of the newest fault that may have stopped control
 	fleet              fleetOracle
@@ -108,7 +108,7 @@
 func newOracle(w *world) *oracle {
 	return &oracle{
 		w: w, runsByKey: map[string]int{}, reportedNotRun: map[*exchange]bool{},
-		outcomes: map[string]settings.Outcome{}, operationByVersion: map[uint64]string{}, routerUsed: map[string]uint64{},
+		outcomes: map[string]settings.Outcome{}, operationByVersion: map[uint64]string{}, routerVersions: map[string]uint64{},
 		fleet: newFleetOracle(), said: newSignalOracle(), limits: limitOracle{}, deadly: map[quarantine.Fingerprint]*fatalRequest{},
 	}
 }
@@ -214,10 +214,10 @@
 	if version == 0 {
 		return
 	}
-	if used := o.routerUsed[r.name]; version < used {
+	if used := o.routerVersions[r.name]; version < used {
 		o.fail(SettingsDurable, "%s went back from version %d to %d", r.name, used, version)
 	}
-	o.routerUsed[r.name] = version
+	o.routerVersions[r.name] = version
 }
 
 // routerStopped checks a planned stop at its end.
