--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -164,7 +164,7 @@
 		o.deadly[f] = d
 	}
 	now := o.w.now()
-	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thresholdAt)+quarantineContactTime
+	well := now > max(o.controlFaultEnd, g.startedAt, g.resumedAt, d.thresholdAt)+quarantineContactTime
 	if d.crashes >= quarantine.QuarantineThreshold && well {
 		if d.excessSends++; d.excessSends > maxFatalSends {
 			o.fail(QuarantineEnforced, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.crashes, now-d.thresholdAt)
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -84,7 +84,7 @@
 
 // recordControlDisturbance notes that control may be unwell until a time.
 func (w *world) recordControlDisturbance(length time.Duration) {
-	w.oracle.controlFault = max(w.oracle.controlFault, w.now()+length)
+	w.oracle.controlFaultEnd = max(w.oracle.controlFaultEnd, w.now()+length)
 }
 
 func (w *world) faultKillRouter() {
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -97,7 +97,7 @@
 	inForce            uint64                      // highest version said to be in force
 	routerVersions     map[string]uint64           // newest version a router decided by
 	firstAccept        time.Duration               // when the first change was accepted
-	controlFault       time.Duration               // end of the newest fault that may have stopped control
+	controlFaultEnd    time.Duration               // end of the newest fault that may have stopped control
 	fleet              fleetOracle
 	said               signalOracle
 	limits             limitOracle
@@ -191,7 +191,7 @@
 	if servesLast {
 		o.fail(ServesAfterRestart, "%s refused %s as %s although it holds settings %d", r.name, run.job.name, final.Reason, r.saved.Version)
 	}
-	calm := o.accepted > 0 && o.w.now() > max(o.controlFault, r.resumedAt, o.firstAccept)+recoveryTime
+	calm := o.accepted > 0 && o.w.now() > max(o.controlFaultEnd, r.resumedAt, o.firstAccept)+recoveryTime
 	if calm && r.saved.Version > 0 {
 		o.fail(ServesAfterRestart, "%s refused %s as %s while control was well", r.name, run.job.name, final.Reason)
 	}
