--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -29,8 +29,8 @@
 
 // faultFatalRequest lets a request come again and again that ends each back end that begins to run it.
 func (w *world) faultFatalRequest() {
-	w.oracle.deadlies++
-	f := quarantine.Fingerprint{byte(w.oracle.deadlies), 'd'}
+	w.oracle.fatalCount++
+	f := quarantine.Fingerprint{byte(w.oracle.fatalCount), 'd'}
 	until := min(w.now()+fatalDuration, activeTime)
 	var come func()
 	come = func() {
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -102,7 +102,7 @@
 	said               signalOracle
 	limits             limitOracle
 	deadly             map[quarantine.Fingerprint]*fatalRequest
-	deadlies           int
+	fatalCount         int
 }
 
 func newOracle(w *world) *oracle {
