--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -158,10 +158,10 @@
 
 // checkFatalSend checks a send of a deadly request.
 func (o *oracle) checkFatalSend(g *fleetGateway, f quarantine.Fingerprint, life string) {
-	d := o.deadly[f]
+	d := o.fatalRequests[f]
 	if d == nil {
 		d = &fatalRequest{}
-		o.deadly[f] = d
+		o.fatalRequests[f] = d
 	}
 	now := o.w.now()
 	well := now > max(o.controlFaultEnd, g.startedAt, g.resumedAt, d.thresholdAt)+quarantineContactTime
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -101,7 +101,7 @@
 	fleet              fleetOracle
 	said               signalOracle
 	limits             limitOracle
-	deadly             map[quarantine.Fingerprint]*fatalRequest
+	fatalRequests      map[quarantine.Fingerprint]*fatalRequest
 	fatalCount         int
 }
 
@@ -109,7 +109,7 @@
 	return &oracle{
 		w: w, runsByKey: map[string]int{}, reportedNotRun: map[*exchange]bool{},
 		outcomes: map[string]settings.Outcome{}, operationByVersion: map[uint64]string{}, routerVersions: map[string]uint64{},
-		fleet: newFleetOracle(), said: newSignalOracle(), limits: limitOracle{}, deadly: map[quarantine.Fingerprint]*fatalRequest{},
+		fleet: newFleetOracle(), said: newSignalOracle(), limits: limitOracle{}, fatalRequests: map[quarantine.Fingerprint]*fatalRequest{},
 	}
 }
 
