--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -110,7 +110,7 @@
 	e.advance()
 	result := e.model.Submit(e.w.now(), job)
 	if result == engine.Accepted || result == engine.AcceptedWithoutReuse {
-		e.w.oracle.engineTook(e, job, s, result)
+		e.w.oracle.engineAccepted(e, job, s, result)
 		e.trackConnection(s)
 	}
 	e.advance()
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -122,8 +122,8 @@
 	o.w.logf("VIOLATION %s: %s", invariant, o.violation.Detail)
 }
 
-// engineTook checks a job at the moment an engine takes it.
-func (o *oracle) engineTook(e *engineNode, job *engine.Job, s *sending, result engine.SubmitResult) {
+// engineAccepted checks a job at the moment an engine takes it.
+func (o *oracle) engineAccepted(e *engineNode, job *engine.Job, s *sending, result engine.SubmitResult) {
 	run := s.request
 	run.ran = true
 	if o.reportedNotRun[run] {
