--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// checkLeaving checks a send at the moment the router makes it; what was on its way before may arrive late.
-func (o *oracle) checkLeaving(r *routerNode, backend string) {
+// checkDraining checks a send at the moment the router makes it; what was on its way before may arrive late.
+func (o *oracle) checkDraining(r *routerNode, backend string) {
 	leftAt := o.w.drainingSince(backend)
 	if leftAt > 0 && o.w.now() > leftAt+leavingGrace {
 		o.fail(DrainRespected, "%s sent new work to %s %v after it was said to leave", r.name, backend, o.w.now()-leftAt)
@@ -199,7 +199,7 @@
 
 // routerDispatched checks the settings that a new request is decided by.
 func (o *oracle) routerDispatched(r *routerNode, run *exchange, action core.ActionDispatch) {
-	o.checkLeaving(r, action.Backend)
+	o.checkDraining(r, action.Backend)
 	if action.ResumeFrom > run.resumeFrom || r.zone == serveLastZone {
 		return
 	}
