--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -202,7 +202,7 @@
 		if e.over {
 			return
 		}
-		e.job.w.oracle.callerGot(e, action)
+		e.job.w.oracle.callerReceived(e, action)
 		e.next++
 	})
 }
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// callerGot checks a token.
-func (o *oracle) callerGot(run *exchange, chunk core.ActionChunk) {
+// callerReceived checks a token.
+func (o *oracle) callerReceived(run *exchange, chunk core.ActionChunk) {
 	wanted := run.job.token(run.next)
 	switch {
 	case chunk.Text == wanted && chunk.Index == run.next:
