--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -127,7 +127,7 @@
 			again()
 			return
 		}
-		o.w.oracle.operatorTold(change, *response.Change)
+		o.w.oracle.operatorOutcome(change, *response.Change)
 		if o.w.chance(resendAnyway) {
 			again()
 		}
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -272,8 +272,8 @@
 	o.acknowledged = max(o.acknowledged, read.Version)
 }
 
-// operatorTold checks the outcome of a change against the first one and against all others.
-func (o *oracle) operatorTold(change settings.Change, outcome settings.Outcome) {
+// operatorOutcome checks the outcome of a change against the first one and against all others.
+func (o *oracle) operatorOutcome(change settings.Change, outcome settings.Outcome) {
 	first, known := o.outcomes[change.OperationID]
 	if known && (first.Kind != outcome.Kind || first.Version != outcome.Version) {
 		o.fail(SettingsDurable, "%s was told %s at %d, then %s at %d", change.OperationID, first.Kind, first.Version, outcome.Kind, outcome.Version)
