--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -191,8 +191,8 @@
 	if servesLast {
 		o.fail(ServesAfterRestart, "%s refused %s as %s although it holds settings %d", r.name, run.job.name, final.Reason, r.saved.Version)
 	}
-	calm := o.accepted > 0 && o.w.now() > max(o.controlFaultEnd, r.resumedAt, o.firstAccept)+recoveryTime
-	if calm && r.saved.Version > 0 {
+	recovered := o.accepted > 0 && o.w.now() > max(o.controlFaultEnd, r.resumedAt, o.firstAccept)+recoveryTime
+	if recovered && r.saved.Version > 0 {
 		o.fail(ServesAfterRestart, "%s refused %s as %s while control was well", r.name, run.job.name, final.Reason)
 	}
 }
