--- a/internal/lab/sim/asker.go
+++ b/internal/lab/sim/asker.go
@@ -11,19 +11,19 @@
 	askPause   = 50 * time.Millisecond
 )
 
-// asker is a client of the control group that finds the leader by itself, as control.Client does.
-type asker struct {
+// controlClient is a client of the control group that finds the leader by itself, as control.Client does.
+type controlClient struct {
 	w      *world
 	from   *process
 	leader string
 	next   int
 }
 
-func newAsker(w *world, from *process) *asker {
-	return &asker{w: w, from: from, next: w.random.IntN(16)}
+func newAsker(w *world, from *process) *controlClient {
+	return &controlClient{w: w, from: from, next: w.random.IntN(16)}
 }
 
-func (a *asker) target() *controlNode {
+func (a *controlClient) target() *controlNode {
 	for _, n := range a.w.controls {
 		if n.name == a.leader {
 			return n
@@ -34,7 +34,7 @@
 }
 
 // once asks one replica once.
-func (a *asker) once(request control.Request, timeout time.Duration, done func(control.Response, bool)) {
+func (a *controlClient) once(request control.Request, timeout time.Duration, done func(control.Response, bool)) {
 	target := a.target()
 	answered := a.w.note(a.from.name, request)
 	a.w.call(a.from, target.process, timeout, func(respond func(func())) {
@@ -51,7 +51,7 @@
 	})
 }
 
-func (a *asker) learn(target *controlNode, response control.Response) {
+func (a *controlClient) learn(target *controlNode, response control.Response) {
 	switch {
 	case response.Kind == control.ResponseOK:
 		a.leader = target.name
@@ -63,7 +63,7 @@
 }
 
 // ask repeats a request until a leader decided it or the time is over.
-func (a *asker) ask(request control.Request, until time.Duration, done func(control.Response, bool)) {
+func (a *controlClient) ask(request control.Request, until time.Duration, done func(control.Response, bool)) {
 	a.once(request, askTimeout, func(response control.Response, answered bool) {
 		if answered && response.Kind == control.ResponseOK {
 			done(response, true)
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -50,7 +50,7 @@
 	alarm    vtime.Alarm
 	clients  map[uint64]func(control.Response)
 	nextID   uint64
-	joining  *asker
+	joining  *controlClient
 
 	keepsBuild bool // its next start takes this build again
 }
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -39,7 +39,7 @@
 // fleetOperator replaces the routing document and names weights; it resends when an answer is lost, and races the other.
 type fleetOperator struct {
 	*process
-	asker *asker
+	asker *controlClient
 }
 
 func (o *fleetOperator) boot() {
@@ -102,7 +102,7 @@
 // fleetBackend registers itself, takes orders, drains, leaves, and comes back as another life at its address.
 type fleetBackend struct {
 	*process
-	asker        *asker
+	asker        *controlClient
 	incarnations int
 	id           string
 	sequence     uint64
@@ -279,7 +279,7 @@
 // fleetGateway follows control as a gateway does, and sends to back ends of its roster while its view counts.
 type fleetGateway struct {
 	*process
-	asker           *asker
+	asker           *controlClient
 	startedAt       time.Duration
 	revision        uint64
 	version         control.RosterVersion
@@ -289,7 +289,7 @@
 	publishTimes    *belief.PublishTimes
 	signals         *pushback.Tracker // what back ends said of themselves
 	leases          *allowance.Client
-	leaseAsker      *asker // asks for parts of limits
+	leaseAsker      *controlClient // asks for parts of limits
 	requestingLease bool
 }
 
@@ -300,7 +300,7 @@
 	g.revision, g.version, g.roster, g.confirmed, g.crashes = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
 	g.publishTimes, g.signals = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
 	g.leases, g.requestingLease = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.generation), fleetViewTTL), false
-	g.leaseAsker = &asker{w: g.w, from: g.process}
+	g.leaseAsker = &controlClient{w: g.w, from: g.process}
 	g.w.oracle.fleet.publicationSeenAt[g.process.name] = map[uint64]time.Duration{}
 	g.w.oracle.fleet.usedRevision[g.process.name] = 0
 	g.watchControl()
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -20,7 +20,7 @@
 // operator edits the tree and resends when an answer is lost.
 type operator struct {
 	*process
-	asker   *asker
+	asker   *controlClient
 	changes int
 }
 
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -31,7 +31,7 @@
 	*process
 	core        *core.Core
 	session     *session.Machine
-	asker       *asker
+	asker       *controlClient
 	saved       session.Settings // on disk
 	incarnation uint64           // on disk
 	startedAt   time.Duration
