--- a/internal/lab/sim/asker.go
+++ b/internal/lab/sim/asker.go
@@ -19,7 +19,7 @@
 	next   int
 }
 
-func newAsker(w *world, from *process) *controlClient {
+func newControlClient(w *world, from *process) *controlClient {
 	return &controlClient{w: w, from: from, next: w.random.IntN(16)}
 }
 
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -77,7 +77,7 @@
 	n.syncing, n.unsynced, n.inbox = nil, nil, nil
 	n.clients = map[uint64]func(control.Response){}
 	n.alarm = vtime.Alarm{}
-	n.joining = newAsker(n.w, n.process)
+	n.joining = newControlClient(n.w, n.process)
 	if !n.keepsBuild {
 		n.build = n.w.drawBuild()
 	}
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -44,7 +44,7 @@
 
 func (o *fleetOperator) boot() {
 	o.start()
-	o.asker = newAsker(o.w, o.process)
+	o.asker = newControlClient(o.w, o.process)
 	o.after(o.w.between(2*time.Second, 5*time.Second), o.replace)
 	o.after(o.w.between(6*time.Second, 12*time.Second), o.publishWeightsPeriodically)
 }
@@ -118,7 +118,7 @@
 
 func (b *fleetBackend) boot() {
 	b.start()
-	b.asker = newAsker(b.w, b.process)
+	b.asker = newControlClient(b.w, b.process)
 	b.incarnations++
 	b.id = b.nextID()
 	b.sequence, b.draining, b.loadingUntil, b.revision, b.fence, b.ackedState = 0, false, 0, 0, 0, ""
@@ -296,7 +296,7 @@
 func (g *fleetGateway) boot() {
 	g.start()
 	g.startedAt = g.w.now()
-	g.asker = newAsker(g.w, g.process)
+	g.asker = newControlClient(g.w, g.process)
 	g.revision, g.version, g.roster, g.confirmed, g.crashes = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
 	g.publishTimes, g.signals = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
 	g.leases, g.requestingLease = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.generation), fleetViewTTL), false
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -44,7 +44,7 @@
 
 func (o *operator) boot(first bool) {
 	o.start()
-	o.asker = newAsker(o.w, o.process)
+	o.asker = newControlClient(o.w, o.process)
 	o.ticker(readPeriod, o.read)
 	if first {
 		o.after(time.Second, o.plant)
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -53,7 +53,7 @@
 	r.waiting = map[core.RequestID]*exchange{}
 	r.sendings = map[core.AttemptID]*sending{}
 	r.nextID = 0
-	r.asker = newAsker(r.w, r.process)
+	r.asker = newControlClient(r.w, r.process)
 	r.core = core.New(core.Config{
 		Router: r.name, Zone: r.zone, Seed: r.w.random.Uint64(), BlockTokens: tokensPerBlock, IndexLimit: 2000,
 		ZoneLatency: map[string]time.Duration{}, ImportRate: 4000, Guards: r.w.guards,
@@ -191,7 +191,7 @@
 		r.claim(typed)
 	case core.ActionEndClaim:
 		end := typed.End
-		newAsker(r.w, r.process).ask(control.Request{End: &end}, r.w.now()+endPatience, func(control.Response, bool) {})
+		newControlClient(r.w, r.process).ask(control.Request{End: &end}, r.w.now()+endPatience, func(control.Response, bool) {})
 	case core.ActionRequestSnapshot:
 		r.fetchSnapshot(typed)
 	}
@@ -210,7 +210,7 @@
 func (r *routerNode) claim(action core.ActionClaim) {
 	claim := action.Claim
 	r.w.mischief.onClaim(r)
-	newAsker(r.w, r.process).ask(control.Request{Claim: &claim}, r.w.now()+claimPatience, func(response control.Response, decided bool) {
+	newControlClient(r.w, r.process).ask(control.Request{Claim: &claim}, r.w.now()+claimPatience, func(response control.Response, decided bool) {
 		event := core.EventClaim{ID: action.ID, ClaimID: claim.ClaimID, Failed: !decided || response.Claim == nil}
 		if !event.Failed {
 			event.Outcome = *response.Claim
