--- a/internal/lab/sim/asker.go
+++ b/internal/lab/sim/asker.go
@@ -13,14 +13,14 @@
 
 // controlClient is a client of the control group that finds the leader by itself, as control.Client does.
 type controlClient struct {
-	w      *world
-	from   *process
-	leader string
-	next   int
+	w           *world
+	from        *process
+	leader      string
+	nextReplica int
 }
 
 func newControlClient(w *world, from *process) *controlClient {
-	return &controlClient{w: w, from: from, next: w.random.IntN(16)}
+	return &controlClient{w: w, from: from, nextReplica: w.random.IntN(16)}
 }
 
 func (a *controlClient) target() *controlNode {
@@ -29,8 +29,8 @@
 			return n
 		}
 	}
-	a.next++
-	return a.w.controls[a.next%len(a.w.controls)]
+	a.nextReplica++
+	return a.w.controls[a.nextReplica%len(a.w.controls)]
 }
 
 // once asks one replica once.
