--- a/internal/lab/sim/asker.go
+++ b/internal/lab/sim/asker.go
@@ -23,7 +23,7 @@
 	return &controlClient{w: w, from: from, nextReplica: w.random.IntN(16)}
 }
 
-func (a *controlClient) target() *controlNode {
+func (a *controlClient) pickReplica() *controlNode {
 	for _, n := range a.w.controls {
 		if n.name == a.leader {
 			return n
@@ -35,7 +35,7 @@
 
 // once asks one replica once.
 func (a *controlClient) once(request control.Request, timeout time.Duration, done func(control.Response, bool)) {
-	target := a.target()
+	target := a.pickReplica()
 	answered := a.w.note(a.from.name, request)
 	a.w.call(a.from, target.process, timeout, func(respond func(func())) {
 		target.handle(request, func(response control.Response) {
