--- a/internal/lab/sim/asker.go
+++ b/internal/lab/sim/asker.go
@@ -33,8 +33,8 @@
 	return a.w.controls[a.nextReplica%len(a.w.controls)]
 }
 
-// once asks one replica once.
-func (a *controlClient) once(request control.Request, timeout time.Duration, done func(control.Response, bool)) {
+// askOnce asks one replica askOnce.
+func (a *controlClient) askOnce(request control.Request, timeout time.Duration, done func(control.Response, bool)) {
 	target := a.pickReplica()
 	answered := a.w.note(a.from.name, request)
 	a.w.call(a.from, target.process, timeout, func(respond func(func())) {
@@ -64,7 +64,7 @@
 
 // ask repeats a request until a leader decided it or the time is over.
 func (a *controlClient) ask(request control.Request, until time.Duration, done func(control.Response, bool)) {
-	a.once(request, askTimeout, func(response control.Response, answered bool) {
+	a.askOnce(request, askTimeout, func(response control.Response, answered bool) {
 		if answered && response.Kind == control.ResponseOK {
 			done(response, true)
 			return
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -306,7 +306,7 @@
 		return
 	}
 	self := n.member()
-	n.joining.once(control.Request{Join: &self}, pollTimeout, func(control.Response, bool) {})
+	n.joining.askOnce(control.Request{Join: &self}, pollTimeout, func(control.Response, bool) {})
 }
 
 // found makes the first replicas: one voter, which the others join, as the processes do.
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -158,7 +158,7 @@
 	asked := g.clock()
 	request := g.leases.NewRequest(asked, demands)
 	g.requestingLease = true
-	g.leaseAsker.once(control.Request{AllowanceRequest: &request}, leaseTimeout, func(response control.Response, answered bool) {
+	g.leaseAsker.askOnce(control.Request{AllowanceRequest: &request}, leaseTimeout, func(response control.Response, answered bool) {
 		g.requestingLease = false
 		var lease allowance.Lease
 		if answered && response.AllowanceReply != nil {
