--- a/internal/lab/sim/asker.go
+++ b/internal/lab/sim/asker.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// ask repeats a request until a leader decided it or the time is over.
-func (a *controlClient) ask(request control.Request, until time.Duration, done func(control.Response, bool)) {
+// askUntil repeats a request until a leader decided it or the time is over.
+func (a *controlClient) askUntil(request control.Request, until time.Duration, done func(control.Response, bool)) {
 	a.askOnce(request, askTimeout, func(response control.Response, answered bool) {
 		if answered && response.Kind == control.ResponseOK {
 			done(response, true)
@@ -73,6 +73,6 @@
 			done(control.Response{}, false)
 			return
 		}
-		a.from.after(askPause, func() { a.ask(request, until, done) })
+		a.from.after(askPause, func() { a.askUntil(request, until, done) })
 	})
 }
--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -105,7 +105,7 @@
 func (g *fleetGateway) proposeQuarantineChange(change quarantine.Change) {
 	request := control.Request{Catalog: &catalog.Command{Quarantine: &change}}
 	record := g.crashes
-	g.asker.ask(request, g.w.now()+quarantineReportTimeout, func(_ control.Response, taken bool) {
+	g.asker.askUntil(request, g.w.now()+quarantineReportTimeout, func(_ control.Response, taken bool) {
 		if taken {
 			record.Acknowledge(change.Crashes)
 		}
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -92,7 +92,7 @@
 	version := o.w.oracle.fleet.lastPublishedSent + 1
 	o.w.oracle.recordPublishSent(version)
 	request := control.Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: fleetModel, Version: version}}}
-	o.asker.ask(request, o.w.now()+20*time.Second, func(_ control.Response, decided bool) {
+	o.asker.askUntil(request, o.w.now()+20*time.Second, func(_ control.Response, decided bool) {
 		if decided {
 			o.w.oracle.recordPublishAck(version)
 		}
@@ -201,13 +201,13 @@
 	b.sequence++
 	id := b.id
 	beat := &control.BackendHeartbeat{Instance: b.instance(), Sequence: b.sequence}
-	b.asker.ask(b.request(beat), b.w.now()+10*time.Second, func(_ control.Response, decided bool) {
+	b.asker.askUntil(b.request(beat), b.w.now()+10*time.Second, func(_ control.Response, decided bool) {
 		if decided {
 			b.w.oracle.fleet.draining[id] = b.w.now()
 		}
 		b.after(fleetDrainTime, func() {
 			leave := &control.BackendHeartbeat{Instance: catalog.Instance{ID: catalog.ParseInstanceID(id).Name}, Leaving: true}
-			b.asker.ask(control.Request{BackendHeartbeat: leave}, b.w.now()+10*time.Second, func(control.Response, bool) {
+			b.asker.askUntil(control.Request{BackendHeartbeat: leave}, b.w.now()+10*time.Second, func(control.Response, bool) {
 				b.kill(false)
 				b.w.restart(b, b.w.between(200*time.Millisecond, 2*time.Second))
 			})
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -191,7 +191,7 @@
 		r.claim(typed)
 	case core.ActionEndClaim:
 		end := typed.End
-		newControlClient(r.w, r.process).ask(control.Request{End: &end}, r.w.now()+endPatience, func(control.Response, bool) {})
+		newControlClient(r.w, r.process).askUntil(control.Request{End: &end}, r.w.now()+endPatience, func(control.Response, bool) {})
 	case core.ActionRequestSnapshot:
 		r.fetchSnapshot(typed)
 	}
@@ -210,7 +210,7 @@
 func (r *routerNode) claim(action core.ActionClaim) {
 	claim := action.Claim
 	r.w.mischief.onClaim(r)
-	newControlClient(r.w, r.process).ask(control.Request{Claim: &claim}, r.w.now()+claimPatience, func(response control.Response, decided bool) {
+	newControlClient(r.w, r.process).askUntil(control.Request{Claim: &claim}, r.w.now()+claimPatience, func(response control.Response, decided bool) {
 		event := core.EventClaim{ID: action.ID, ClaimID: claim.ClaimID, Failed: !decided || response.Claim == nil}
 		if !event.Failed {
 			event.Outcome = *response.Claim
