--- a/internal/lab/sim/asker.go
+++ b/internal/lab/sim/asker.go
@@ -41,7 +41,7 @@
 		target.handle(request, func(response control.Response) {
 			respond(func() {
 				answered(response)
-				a.learn(target, response)
+				a.updateLeader(target, response)
 				done(response, true)
 			})
 		})
@@ -51,7 +51,7 @@
 	})
 }
 
-func (a *controlClient) learn(target *controlNode, response control.Response) {
+func (a *controlClient) updateLeader(target *controlNode, response control.Response) {
 	switch {
 	case response.Kind == control.ResponseOK:
 		a.leader = target.name
