--- a/internal/lab/sim/asker.go
+++ b/internal/lab/sim/asker.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	askTimeout = 700 * time.Millisecond
-	askPause   = 50 * time.Millisecond
+	controlTimeout = 700 * time.Millisecond
+	askPause       = 50 * time.Millisecond
 )
 
 // controlClient is a client of the control group that finds the leader by itself, as control.Client does.
@@ -64,7 +64,7 @@
 
 // askUntil repeats a request until a leader decided it or the time is over.
 func (a *controlClient) askUntil(request control.Request, until time.Duration, done func(control.Response, bool)) {
-	a.askOnce(request, askTimeout, func(response control.Response, answered bool) {
+	a.askOnce(request, controlTimeout, func(response control.Response, answered bool) {
 		if answered && response.Kind == control.ResponseOK {
 			done(response, true)
 			return
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -69,7 +69,7 @@
 
 func (o *fleetOperator) send(document catalog.Document, left int) {
 	request := control.Request{Catalog: &catalog.Command{Replace: &document}}
-	o.asker.askOnce(request, askTimeout, func(response control.Response, answered bool) {
+	o.asker.askOnce(request, controlTimeout, func(response control.Response, answered bool) {
 		if answered && response.Catalog != nil && !o.w.chance(lostAnswer) {
 			o.w.oracle.recordDocumentAck(document.Revision)
 			return
@@ -169,7 +169,7 @@
 	if b.ackedState == heartbeatState(beat) && beat.Sequence%3 == 0 {
 		request = control.Request{Keepalives: []control.Keepalive{{ID: beat.Instance.ID, Sequence: beat.Sequence}}}
 	}
-	b.asker.askOnce(request, askTimeout, func(response control.Response, answered bool) {
+	b.asker.askOnce(request, controlTimeout, func(response control.Response, answered bool) {
 		switch {
 		case !answered || response.Kind != control.ResponseOK || len(response.UnknownBackends) > 0:
 			b.ackedState = ""
@@ -319,7 +319,7 @@
 	if g.w.relaysWatches && g.w.chance(replicaSwitchRatio) {
 		g.asker.leader = pick(g.w, g.w.controls).name // another replica answers from now on
 	}
-	g.asker.askOnce(control.Request{Watch: watch}, askTimeout, func(response control.Response, answered bool) {
+	g.asker.askOnce(control.Request{Watch: watch}, controlTimeout, func(response control.Response, answered bool) {
 		pause := askPause
 		if answered && response.Kind == control.ResponseOK && response.Watch != nil {
 			g.applyWatchReply(asked, floor, response.Watch)
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -98,7 +98,7 @@
 func (r *routerNode) beat() {
 	sent := r.clock()
 	beat := r.session.Heartbeat()
-	r.asker.askOnce(control.Request{Heartbeat: &beat}, askTimeout, func(response control.Response, answered bool) {
+	r.asker.askOnce(control.Request{Heartbeat: &beat}, controlTimeout, func(response control.Response, answered bool) {
 		if !answered || response.Heartbeat == nil {
 			r.after(session.FastHeartbeatInterval, r.beat)
 			return
@@ -335,7 +335,7 @@
 		}
 		r.w.oracle.routerStopped(r)
 		beat := r.session.ClosingHeartbeat()
-		r.asker.askOnce(control.Request{Heartbeat: &beat}, askTimeout, func(control.Response, bool) {})
+		r.asker.askOnce(control.Request{Heartbeat: &beat}, controlTimeout, func(control.Response, bool) {})
 		r.after(drainCheck, func() {
 			r.kill(false)
 			then()
