--- a/internal/lab/sim/asker.go
+++ b/internal/lab/sim/asker.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	controlTimeout = 700 * time.Millisecond
-	askPause       = 50 * time.Millisecond
+	controlTimeout    = 700 * time.Millisecond
+	controlRetryDelay = 50 * time.Millisecond
 )
 
 // controlClient is a client of the control group that finds the leader by itself, as control.Client does.
@@ -73,6 +73,6 @@
 			done(control.Response{}, false)
 			return
 		}
-		a.from.after(askPause, func() { a.askUntil(request, until, done) })
+		a.from.after(controlRetryDelay, func() { a.askUntil(request, until, done) })
 	})
 }
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -320,7 +320,7 @@
 		g.asker.leader = pick(g.w, g.w.controls).name // another replica answers from now on
 	}
 	g.asker.askOnce(control.Request{Watch: watch}, controlTimeout, func(response control.Response, answered bool) {
-		pause := askPause
+		pause := controlRetryDelay
 		if answered && response.Kind == control.ResponseOK && response.Watch != nil {
 			g.applyWatchReply(asked, floor, response.Watch)
 			pause = time.Millisecond
