--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -43,14 +43,14 @@
 	build     level.Level // that it runs, or that it starts as if keepsBuild is set
 	wallSkew  time.Duration
 
-	stallsTo time.Duration     // no write ends before
-	syncing  *control.Persist  // being written
-	unsynced []control.Persist // acknowledged before the sync; only without the guard
-	inbox    []func()          // arrived during a sync
-	alarm    vtime.Alarm
-	clients  map[uint64]func(control.Response)
-	nextID   uint64
-	joining  *controlClient
+	stallsTo   time.Duration     // no write ends before
+	syncing    *control.Persist  // being written
+	unsynced   []control.Persist // acknowledged before the sync; only without the guard
+	inbox      []func()          // arrived during a sync
+	alarm      vtime.Alarm
+	clients    map[uint64]func(control.Response)
+	nextID     uint64
+	joinClient *controlClient
 
 	keepsBuild bool // its next start takes this build again
 }
@@ -77,7 +77,7 @@
 	n.syncing, n.unsynced, n.inbox = nil, nil, nil
 	n.clients = map[uint64]func(control.Response){}
 	n.alarm = vtime.Alarm{}
-	n.joining = newControlClient(n.w, n.process)
+	n.joinClient = newControlClient(n.w, n.process)
 	if !n.keepsBuild {
 		n.build = n.w.drawBuild()
 	}
@@ -306,7 +306,7 @@
 		return
 	}
 	self := n.member()
-	n.joining.askOnce(control.Request{Join: &self}, pollTimeout, func(control.Response, bool) {})
+	n.joinClient.askOnce(control.Request{Join: &self}, pollTimeout, func(control.Response, bool) {})
 }
 
 // found makes the first replicas: one voter, which the others join, as the processes do.
