--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -15,7 +15,7 @@
 
 const (
 	groupSize     = 3
-	heartbeat     = 100 * time.Millisecond
+	raftHeartbeat = 100 * time.Millisecond
 	repairAfter   = 4 * time.Second
 	settingsLease = 2 * time.Second
 	snapshotEvery = 150
@@ -29,7 +29,7 @@
 )
 
 var controlTiming = consensus.Timing{
-	Heartbeat: heartbeat, ElectionMin: 7 * heartbeat, ElectionMax: 14 * heartbeat, Lease: 5 * heartbeat,
+	Heartbeat: raftHeartbeat, ElectionMin: 7 * raftHeartbeat, ElectionMax: 14 * raftHeartbeat, Lease: 5 * raftHeartbeat,
 }
 
 // controlNode is a control replica with its disk.
