--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	groupSize     = 3
-	raftHeartbeat = 100 * time.Millisecond
-	repairAfter   = 4 * time.Second
-	settingsLease = 2 * time.Second
-	snapshotEvery = 150
-	enginePoll    = 300 * time.Millisecond
-	pollTimeout   = 500 * time.Millisecond
-	joinPeriod    = 400 * time.Millisecond
-	wallStart     = 1_700_000_000_000 // ms
-	lateSyncMin   = 20 * time.Millisecond
-	lateSyncMax   = 400 * time.Millisecond
-	relayTimeout  = 400 * time.Millisecond
+	groupSize          = 3
+	raftHeartbeat      = 100 * time.Millisecond
+	repairAfter        = 4 * time.Second
+	settingsLease      = 2 * time.Second
+	snapshotEvery      = 150
+	enginePollInterval = 300 * time.Millisecond
+	pollTimeout        = 500 * time.Millisecond
+	joinPeriod         = 400 * time.Millisecond
+	wallStart          = 1_700_000_000_000 // ms
+	lateSyncMin        = 20 * time.Millisecond
+	lateSyncMax        = 400 * time.Millisecond
+	relayTimeout       = 400 * time.Millisecond
 )
 
 var controlTiming = consensus.Timing{
@@ -99,7 +99,7 @@
 	}
 	n.replica = replica
 	n.w.logf("%s starts as %s at entry %d", n.name, n.identity.ID, replica.Node().LastIndex())
-	n.ticker(enginePoll, n.pollEngines)
+	n.ticker(enginePollInterval, n.pollEngines)
 	n.ticker(joinPeriod, n.joinGroup)
 	n.pump()
 }
