--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -21,7 +21,7 @@
 	snapshotEvery      = 150
 	enginePollInterval = 300 * time.Millisecond
 	pollTimeout        = 500 * time.Millisecond
-	joinPeriod         = 400 * time.Millisecond
+	joinInterval       = 400 * time.Millisecond
 	wallStart          = 1_700_000_000_000 // ms
 	lateSyncMin        = 20 * time.Millisecond
 	lateSyncMax        = 400 * time.Millisecond
@@ -100,7 +100,7 @@
 	n.replica = replica
 	n.w.logf("%s starts as %s at entry %d", n.name, n.identity.ID, replica.Node().LastIndex())
 	n.ticker(enginePollInterval, n.pollEngines)
-	n.ticker(joinPeriod, n.joinGroup)
+	n.ticker(joinInterval, n.joinGroup)
 	n.pump()
 }
 
