--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -37,7 +37,7 @@
 	*process
 	disk      control.Checkpoint
 	identity  control.Identity
-	folders   int // data folders it has had
+	dataDirs  int // data folders it has had
 	replica   *control.Replica
 	startedAt time.Duration
 	build     level.Level // that it runs, or that it starts as if keepsBuild is set
@@ -61,9 +61,9 @@
 
 // newDataDir makes the disk empty; the replica then has a new identity.
 func (n *controlNode) newDataDir() {
-	n.folders++
+	n.dataDirs++
 	n.disk = control.Checkpoint{}
-	n.identity = control.NewIdentity(n.name, fmt.Sprint(n.folders), n.w.guards)
+	n.identity = control.NewIdentity(n.name, fmt.Sprint(n.dataDirs), n.w.guards)
 }
 
 func (n *controlNode) member() consensus.Member {
