--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -46,7 +46,7 @@
 	diskStalledUntil time.Duration     // no write ends before
 	syncing          *control.Persist  // being written
 	unsynced         []control.Persist // acknowledged before the sync; only without the guard
-	inbox            []func()          // arrived during a sync
+	deferredInputs   []func()          // arrived during a sync
 	alarm            vtime.Alarm
 	clients          map[uint64]func(control.Response)
 	nextID           uint64
@@ -74,7 +74,7 @@
 func (n *controlNode) boot() {
 	n.start()
 	n.startedAt = n.w.now()
-	n.syncing, n.unsynced, n.inbox = nil, nil, nil
+	n.syncing, n.unsynced, n.deferredInputs = nil, nil, nil
 	n.clients = map[uint64]func(control.Response){}
 	n.alarm = vtime.Alarm{}
 	n.joinClient = newControlClient(n.w, n.process)
@@ -137,7 +137,7 @@
 // input passes something to the replica, after the sync in progress.
 func (n *controlNode) input(do func()) {
 	if n.syncing != nil {
-		n.inbox = append(n.inbox, do)
+		n.deferredInputs = append(n.deferredInputs, do)
 		return
 	}
 	do()
@@ -175,8 +175,8 @@
 		n.store(persist)
 		n.syncing = nil
 		n.send(n.replica.Advance(n.clock()))
-		waiting := n.inbox
-		n.inbox = nil
+		waiting := n.deferredInputs
+		n.deferredInputs = nil
 		for _, do := range waiting {
 			n.input(do)
 		}
