--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -47,7 +47,7 @@
 	syncing          *control.Persist  // being written
 	unsynced         []control.Persist // acknowledged before the sync; only without the guard
 	deferredInputs   []func()          // arrived during a sync
-	alarm            vtime.Alarm
+	wakeup           vtime.Alarm
 	clients          map[uint64]func(control.Response)
 	nextID           uint64
 	joinClient       *controlClient
@@ -76,7 +76,7 @@
 	n.startedAt = n.w.now()
 	n.syncing, n.unsynced, n.deferredInputs = nil, nil, nil
 	n.clients = map[uint64]func(control.Response){}
-	n.alarm = vtime.Alarm{}
+	n.wakeup = vtime.Alarm{}
 	n.joinClient = newControlClient(n.w, n.process)
 	if !n.keepsBuild {
 		n.build = n.w.drawBuild()
@@ -199,7 +199,7 @@
 
 func (n *controlNode) setWake() {
 	due := n.trueTime(n.startedAt, n.replica.NextDue())
-	n.alarm.Set(n.w.now(), due, time.Millisecond, n.after, func() {
+	n.wakeup.Set(n.w.now(), due, time.Millisecond, n.after, func() {
 		if n.syncing == nil {
 			n.pump()
 		}
