--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -262,17 +262,17 @@
 }
 
 // sendCall passes an order to an engine; some take long on their way.
-func (n *controlNode) sendCall(order control.EngineCall) {
-	target := n.w.engine(order.Engine)
+func (n *controlNode) sendCall(call control.EngineCall) {
+	target := n.w.engine(call.Engine)
 	delay := time.Duration(0)
 	if n.w.chance(0.15) {
 		delay = n.w.between(0, 5*time.Second)
 	}
-	if order.Order != nil {
+	if call.Order != nil {
 		delay = max(delay, n.w.mischief.delayOrder(n))
 	}
 	from := n.process
-	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.order(order) }) })
+	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.order(call) }) })
 }
 
 // handle takes a client's request.
