--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -31,7 +31,7 @@
 	*process
 	core        *core.Core
 	session     *session.Machine
-	asker       *controlClient
+	control     *controlClient
 	saved       session.Settings // on disk
 	incarnation uint64           // on disk
 	startedAt   time.Duration
@@ -53,7 +53,7 @@
 	r.waiting = map[core.RequestID]*exchange{}
 	r.sendings = map[core.AttemptID]*sending{}
 	r.nextID = 0
-	r.asker = newControlClient(r.w, r.process)
+	r.control = newControlClient(r.w, r.process)
 	r.core = core.New(core.Config{
 		Router: r.name, Zone: r.zone, Seed: r.w.random.Uint64(), BlockTokens: tokensPerBlock, IndexLimit: 2000,
 		ZoneLatency: map[string]time.Duration{}, ImportRate: 4000, Guards: r.w.guards,
@@ -98,7 +98,7 @@
 func (r *routerNode) beat() {
 	sent := r.clock()
 	beat := r.session.Heartbeat()
-	r.asker.askOnce(control.Request{Heartbeat: &beat}, controlTimeout, func(response control.Response, answered bool) {
+	r.control.askOnce(control.Request{Heartbeat: &beat}, controlTimeout, func(response control.Response, answered bool) {
 		if !answered || response.Heartbeat == nil {
 			r.after(session.FastHeartbeatInterval, r.beat)
 			return
@@ -335,7 +335,7 @@
 		}
 		r.w.oracle.routerStopped(r)
 		beat := r.session.ClosingHeartbeat()
-		r.asker.askOnce(control.Request{Heartbeat: &beat}, controlTimeout, func(control.Response, bool) {})
+		r.control.askOnce(control.Request{Heartbeat: &beat}, controlTimeout, func(control.Response, bool) {})
 		r.after(drainCheck, func() {
 			r.kill(false)
 			then()
