--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -187,12 +187,12 @@
 	if final.Reason != core.ReasonNoLease && final.Reason != core.ReasonNoSettings {
 		return
 	}
-	servesLast := r.zone == serveLastZone && r.saved.Version > 0
+	servesLast := r.zone == serveLastZone && r.syncedSettings.Version > 0
 	if servesLast {
-		o.fail(ServesAfterRestart, "%s refused %s as %s although it holds settings %d", r.name, run.job.name, final.Reason, r.saved.Version)
+		o.fail(ServesAfterRestart, "%s refused %s as %s although it holds settings %d", r.name, run.job.name, final.Reason, r.syncedSettings.Version)
 	}
 	recovered := o.accepted > 0 && o.w.now() > max(o.controlFaultEnd, r.resumedAt, o.firstAccept)+recoveryTime
-	if recovered && r.saved.Version > 0 {
+	if recovered && r.syncedSettings.Version > 0 {
 		o.fail(ServesAfterRestart, "%s refused %s as %s while control was well", r.name, run.job.name, final.Reason)
 	}
 }
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -29,17 +29,17 @@
 // routerNode is a router process: the core, its session and its disk.
 type routerNode struct {
 	*process
-	core        *core.Core
-	session     *session.Machine
-	control     *controlClient
-	saved       session.Settings // on disk
-	incarnation uint64           // on disk
-	startedAt   time.Duration
-	alarm       vtime.Alarm
-	waiting     map[core.RequestID]*exchange
-	sendings    map[core.AttemptID]*sending
-	nextID      core.RequestID
-	stopping    bool // a planned stop is in progress and no fault has disturbed it
+	core           *core.Core
+	session        *session.Machine
+	control        *controlClient
+	syncedSettings session.Settings // on disk
+	incarnation    uint64           // on disk
+	startedAt      time.Duration
+	alarm          vtime.Alarm
+	waiting        map[core.RequestID]*exchange
+	sendings       map[core.AttemptID]*sending
+	nextID         core.RequestID
+	stopping       bool // a planned stop is in progress and no fault has disturbed it
 }
 
 func (r *routerNode) clock() time.Duration { return r.elapsed(r.startedAt, r.w.now()) }
@@ -60,7 +60,7 @@
 	})
 	held := session.Settings{}
 	if r.w.guards.On(guard.PersistedSettings) {
-		held = r.saved
+		held = r.syncedSettings
 	}
 	r.session = session.New(session.Identity{Router: r.name, Incarnation: r.incarnation, Zone: r.zone, Address: r.name}, held, beatPeriod, r.w.guards)
 	r.w.logf("%s starts as incarnation %d with settings %d", r.name, r.incarnation, held.Version)
@@ -122,7 +122,7 @@
 		return
 	}
 	r.after(r.w.between(500*time.Microsecond, 4*time.Millisecond), func() {
-		r.saved = *step.ToSync
+		r.syncedSettings = *step.ToSync
 		r.session.MarkSynced(*step.ToSync)
 		r.post(append([]core.Event{core.EventSettings{Version: step.ToSync.Version, Tree: step.ToSync.Tree}}, r.renewed(step)...)...)
 		done(step.NextHeartbeatIn)
