--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -35,7 +35,7 @@
 	syncedSettings session.Settings // on disk
 	incarnation    uint64           // on disk
 	startedAt      time.Duration
-	alarm          vtime.Alarm
+	wakeup         vtime.Alarm
 	waiting        map[core.RequestID]*exchange
 	sendings       map[core.AttemptID]*sending
 	nextID         core.RequestID
@@ -48,7 +48,7 @@
 func (r *routerNode) boot() {
 	r.start()
 	r.incarnation++
-	r.startedAt, r.alarm = r.w.now(), vtime.Alarm{}
+	r.startedAt, r.wakeup = r.w.now(), vtime.Alarm{}
 	r.stopping = false
 	r.waiting = map[core.RequestID]*exchange{}
 	r.sendings = map[core.AttemptID]*sending{}
@@ -90,7 +90,7 @@
 func (r *routerNode) setWake() {
 	due, any := r.core.NextWakeup()
 	if any {
-		r.alarm.Set(r.w.now(), r.trueTime(r.startedAt, due), time.Millisecond, r.after, func() { r.post() })
+		r.wakeup.Set(r.w.now(), r.trueTime(r.startedAt, due), time.Millisecond, r.after, func() { r.post() })
 	}
 }
 
