--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -141,7 +141,7 @@
 func (r *routerNode) arrive(run *exchange) {
 	r.nextID++
 	run.id = r.nextID
-	r.waiting[run.id] = run
+	r.exchanges[run.id] = run
 	request := core.Request{
 		ID: run.id, Name: run.job.name, Tenant: run.job.tenant, Service: modelService, PromptTokens: run.promptTokens(),
 		MaxTokens: run.job.maxTokens, ResumeFrom: run.resumeFrom,
@@ -165,8 +165,8 @@
 	run.over = true
 	run.toCaller.closed = true
 	run.router.run(run.toCaller.fromLife, func() {
-		if run.router.waiting[run.id] == run {
-			delete(run.router.waiting, run.id)
+		if run.router.exchanges[run.id] == run {
+			delete(run.router.exchanges, run.id)
 			run.router.post(core.EventCallerGone{ID: run.id})
 		}
 	})
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -222,8 +222,8 @@
 
 // routerStopped checks a planned stop at its end.
 func (o *oracle) routerStopped(r *routerNode) {
-	if r.stopping && len(r.waiting) > 0 {
-		o.fail(PlannedStop, "%s ends a planned stop with %d requests in flight", r.name, len(r.waiting))
+	if r.stopping && len(r.exchanges) > 0 {
+		o.fail(PlannedStop, "%s ends a planned stop with %d requests in flight", r.name, len(r.exchanges))
 	}
 }
 
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -36,7 +36,7 @@
 	incarnation    uint64           // on disk
 	startedAt      time.Duration
 	wakeup         vtime.Alarm
-	waiting        map[core.RequestID]*exchange
+	exchanges      map[core.RequestID]*exchange
 	sendings       map[core.AttemptID]*sending
 	nextID         core.RequestID
 	stopping       bool // a planned stop is in progress and no fault has disturbed it
@@ -50,7 +50,7 @@
 	r.incarnation++
 	r.startedAt, r.wakeup = r.w.now(), vtime.Alarm{}
 	r.stopping = false
-	r.waiting = map[core.RequestID]*exchange{}
+	r.exchanges = map[core.RequestID]*exchange{}
 	r.sendings = map[core.AttemptID]*sending{}
 	r.nextID = 0
 	r.control = newControlClient(r.w, r.process)
@@ -182,7 +182,7 @@
 	case core.ActionCancel:
 		r.cancel(typed.Attempt)
 	case core.ActionChunk:
-		if run := r.waiting[typed.ID]; run != nil {
+		if run := r.exchanges[typed.ID]; run != nil {
 			run.chunk(typed)
 		}
 	case core.ActionFinish:
@@ -198,11 +198,11 @@
 }
 
 func (r *routerNode) finish(final core.ActionFinish) {
-	run := r.waiting[final.ID]
+	run := r.exchanges[final.ID]
 	if run == nil {
 		return
 	}
-	delete(r.waiting, final.ID)
+	delete(r.exchanges, final.ID)
 	r.w.oracle.routerFinished(r, run, final)
 	run.final(final)
 }
@@ -220,7 +220,7 @@
 }
 
 func (r *routerNode) dispatch(action core.ActionDispatch) {
-	run := r.waiting[action.ID]
+	run := r.exchanges[action.ID]
 	if run == nil {
 		return
 	}
@@ -323,13 +323,13 @@
 	if !r.up {
 		return
 	}
-	r.w.logf("%s begins a planned stop with %d requests", r.name, len(r.waiting))
+	r.w.logf("%s begins a planned stop with %d requests", r.name, len(r.exchanges))
 	r.stopping = true
 	r.post(core.EventDrain{})
 	deadline := r.w.now() + drainLimit
 	var check func()
 	check = func() {
-		if len(r.waiting) > 0 && r.w.now() < deadline && r.w.guards.On(guard.DrainBeforeExit) {
+		if len(r.exchanges) > 0 && r.w.now() < deadline && r.w.guards.On(guard.DrainBeforeExit) {
 			r.after(drainCheck, check)
 			return
 		}
