--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -37,7 +37,7 @@
 	startedAt      time.Duration
 	wakeup         vtime.Alarm
 	exchanges      map[core.RequestID]*exchange
-	sendings       map[core.AttemptID]*sending
+	attempts       map[core.AttemptID]*sending
 	nextID         core.RequestID
 	stopping       bool // a planned stop is in progress and no fault has disturbed it
 }
@@ -51,7 +51,7 @@
 	r.startedAt, r.wakeup = r.w.now(), vtime.Alarm{}
 	r.stopping = false
 	r.exchanges = map[core.RequestID]*exchange{}
-	r.sendings = map[core.AttemptID]*sending{}
+	r.attempts = map[core.AttemptID]*sending{}
 	r.nextID = 0
 	r.control = newControlClient(r.w, r.process)
 	r.core = core.New(core.Config{
@@ -235,7 +235,7 @@
 
 func (r *routerNode) sendToEngine(e *engineNode, run *exchange, action core.ActionDispatch) {
 	s := &sending{engine: e, request: run, attempt: action.Attempt, router: r, stream: r.w.newStream(e.process, r.process)}
-	r.sendings[action.Attempt] = s
+	r.attempts[action.Attempt] = s
 	r.w.oracle.checkSend(pairOf(r.process, e.lifeName()))
 	r.w.oracle.checkLimitedSend(pairOf(r.process, e.lifeName()), e.advertised)
 	r.w.call(r.process, e.process, serviceLimit, func(respond func(func())) {
@@ -296,11 +296,11 @@
 }
 
 func (r *routerNode) cancel(attempt core.AttemptID) {
-	s := r.sendings[attempt]
+	s := r.attempts[attempt]
 	if s == nil {
 		return
 	}
-	delete(r.sendings, attempt)
+	delete(r.attempts, attempt)
 	s.over = true
 	origin := fmt.Sprintf("%s#%d", r.name, r.generation)
 	r.w.message(r.process, s.engine.process, func() {
