--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	beatPeriod    = 400 * time.Millisecond
-	backendPoll   = 400 * time.Millisecond
-	listPoll      = 500 * time.Millisecond
-	claimPatience = 4 * time.Second
-	endPatience   = 60 * time.Second
-	serviceLimit  = 60 * time.Second
-	drainLimit    = 40 * time.Second
-	drainCheck    = 20 * time.Millisecond
-	replyLate     = 0.02 // share of heartbeat replies that arrive once more, late
+	heartbeatInterval = 400 * time.Millisecond
+	backendPoll       = 400 * time.Millisecond
+	listPoll          = 500 * time.Millisecond
+	claimPatience     = 4 * time.Second
+	endPatience       = 60 * time.Second
+	serviceLimit      = 60 * time.Second
+	drainLimit        = 40 * time.Second
+	drainCheck        = 20 * time.Millisecond
+	replyLate         = 0.02 // share of heartbeat replies that arrive once more, late
 )
 
 // routerNode is a router process: the core, its session and its disk.
@@ -62,7 +62,7 @@
 	if r.w.guards.On(guard.PersistedSettings) {
 		held = r.syncedSettings
 	}
-	r.session = session.New(session.Identity{Router: r.name, Incarnation: r.incarnation, Zone: r.zone, Address: r.name}, held, beatPeriod, r.w.guards)
+	r.session = session.New(session.Identity{Router: r.name, Incarnation: r.incarnation, Zone: r.zone, Address: r.name}, held, heartbeatInterval, r.w.guards)
 	r.w.logf("%s starts as incarnation %d with settings %d", r.name, r.incarnation, held.Version)
 	if held.Version > 0 {
 		r.post(core.EventSettings{Version: held.Version, Tree: held.Tree})
