--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	heartbeatInterval = 400 * time.Millisecond
-	backendPoll       = 400 * time.Millisecond
-	listPoll          = 500 * time.Millisecond
-	claimPatience     = 4 * time.Second
-	endPatience       = 60 * time.Second
-	serviceLimit      = 60 * time.Second
-	drainLimit        = 40 * time.Second
-	drainCheck        = 20 * time.Millisecond
-	replyLate         = 0.02 // share of heartbeat replies that arrive once more, late
+	heartbeatInterval   = 400 * time.Millisecond
+	backendPollInterval = 400 * time.Millisecond
+	listPoll            = 500 * time.Millisecond
+	claimPatience       = 4 * time.Second
+	endPatience         = 60 * time.Second
+	serviceLimit        = 60 * time.Second
+	drainLimit          = 40 * time.Second
+	drainCheck          = 20 * time.Millisecond
+	replyLate           = 0.02 // share of heartbeat replies that arrive once more, late
 )
 
 // routerNode is a router process: the core, its session and its disk.
@@ -74,7 +74,7 @@
 		r.pollEngine(e, &membership.Cursor{})
 	}
 	for _, s := range r.w.services {
-		r.ticker(backendPoll, func() { r.pollService(s) })
+		r.ticker(backendPollInterval, func() { r.pollService(s) })
 	}
 }
 
@@ -151,7 +151,7 @@
 
 func (r *routerNode) pollEngine(e *engineNode, cursor *membership.Cursor) {
 	asked := r.clock()
-	again := func() { r.after(backendPoll, func() { r.pollEngine(e, cursor) }) }
+	again := func() { r.after(backendPollInterval, func() { r.pollEngine(e, cursor) }) }
 	r.w.call(r.process, e.process, pollTimeout, func(respond func(func())) {
 		e.advance()
 		report := e.model.Report(e.w.now(), cursor.Next())
