--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -17,7 +17,7 @@
 const (
 	heartbeatInterval   = 400 * time.Millisecond
 	backendPollInterval = 400 * time.Millisecond
-	listPoll            = 500 * time.Millisecond
+	machineListInterval = 500 * time.Millisecond
 	claimPatience       = 4 * time.Second
 	endPatience         = 60 * time.Second
 	serviceLimit        = 60 * time.Second
@@ -69,7 +69,7 @@
 	}
 	r.beat()
 	r.readList()
-	r.ticker(listPoll, r.readList)
+	r.ticker(machineListInterval, r.readList)
 	for _, e := range r.w.engines {
 		r.pollEngine(e, &membership.Cursor{})
 	}
