--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -18,7 +18,7 @@
 	heartbeatInterval   = 400 * time.Millisecond
 	backendPollInterval = 400 * time.Millisecond
 	machineListInterval = 500 * time.Millisecond
-	claimPatience       = 4 * time.Second
+	claimTimeout        = 4 * time.Second
 	endPatience         = 60 * time.Second
 	serviceLimit        = 60 * time.Second
 	drainLimit          = 40 * time.Second
@@ -210,7 +210,7 @@
 func (r *routerNode) claim(action core.ActionClaim) {
 	claim := action.Claim
 	r.w.mischief.onClaim(r)
-	newControlClient(r.w, r.process).askUntil(control.Request{Claim: &claim}, r.w.now()+claimPatience, func(response control.Response, decided bool) {
+	newControlClient(r.w, r.process).askUntil(control.Request{Claim: &claim}, r.w.now()+claimTimeout, func(response control.Response, decided bool) {
 		event := core.EventClaim{ID: action.ID, ClaimID: claim.ClaimID, Failed: !decided || response.Claim == nil}
 		if !event.Failed {
 			event.Outcome = *response.Claim
