--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -19,7 +19,7 @@
 	backendPollInterval = 400 * time.Millisecond
 	machineListInterval = 500 * time.Millisecond
 	claimTimeout        = 4 * time.Second
-	endPatience         = 60 * time.Second
+	endTimeout          = 60 * time.Second
 	serviceLimit        = 60 * time.Second
 	drainLimit          = 40 * time.Second
 	drainCheck          = 20 * time.Millisecond
@@ -191,7 +191,7 @@
 		r.claim(typed)
 	case core.ActionEndClaim:
 		end := typed.End
-		newControlClient(r.w, r.process).askUntil(control.Request{End: &end}, r.w.now()+endPatience, func(control.Response, bool) {})
+		newControlClient(r.w, r.process).askUntil(control.Request{End: &end}, r.w.now()+endTimeout, func(control.Response, bool) {})
 	case core.ActionRequestSnapshot:
 		r.fetchSnapshot(typed)
 	}
