--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -20,7 +20,7 @@
 	machineListInterval = 500 * time.Millisecond
 	claimTimeout        = 4 * time.Second
 	endTimeout          = 60 * time.Second
-	serviceLimit        = 60 * time.Second
+	attemptTimeout      = 60 * time.Second
 	drainLimit          = 40 * time.Second
 	drainCheck          = 20 * time.Millisecond
 	replyLate           = 0.02 // share of heartbeat replies that arrive once more, late
@@ -238,7 +238,7 @@
 	r.attempts[action.Attempt] = s
 	r.w.oracle.checkSend(pairOf(r.process, e.lifeName()))
 	r.w.oracle.checkLimitedSend(pairOf(r.process, e.lifeName()), e.advertised)
-	r.w.call(r.process, e.process, serviceLimit, func(respond func(func())) {
+	r.w.call(r.process, e.process, attemptTimeout, func(respond func(func())) {
 		life := e.lives // that speaks, whichever was meant
 		if rest := e.shed.requestedBackoff(e.w.now()); rest > 0 {
 			asker := pairOf(r.process, e.lifeName())
@@ -276,7 +276,7 @@
 
 func (r *routerNode) sendToService(target *serviceNode, run *exchange, action core.ActionDispatch) {
 	s := &sending{request: run, attempt: action.Attempt, router: r}
-	r.w.call(r.process, target.process, serviceLimit, func(respond func(func())) {
+	r.w.call(r.process, target.process, attemptTimeout, func(respond func(func())) {
 		target.serve(run, action.Attempt, func(event core.EventAttempt) {
 			respond(func() { r.attemptEvent(s, event) })
 		})
