--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -21,7 +21,7 @@
 	claimTimeout        = 4 * time.Second
 	endTimeout          = 60 * time.Second
 	attemptTimeout      = 60 * time.Second
-	drainLimit          = 40 * time.Second
+	drainTimeout        = 40 * time.Second
 	drainCheck          = 20 * time.Millisecond
 	replyLate           = 0.02 // share of heartbeat replies that arrive once more, late
 )
@@ -326,7 +326,7 @@
 	r.w.logf("%s begins a planned stop with %d requests", r.name, len(r.exchanges))
 	r.stopping = true
 	r.post(core.EventDrain{})
-	deadline := r.w.now() + drainLimit
+	deadline := r.w.now() + drainTimeout
 	var check func()
 	check = func() {
 		if len(r.exchanges) > 0 && r.w.now() < deadline && r.w.guards.On(guard.DrainBeforeExit) {
