--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -22,7 +22,7 @@
 	endTimeout          = 60 * time.Second
 	attemptTimeout      = 60 * time.Second
 	drainTimeout        = 40 * time.Second
-	drainCheck          = 20 * time.Millisecond
+	drainCheckInterval  = 20 * time.Millisecond
 	replyLate           = 0.02 // share of heartbeat replies that arrive once more, late
 )
 
@@ -330,13 +330,13 @@
 	var check func()
 	check = func() {
 		if len(r.exchanges) > 0 && r.w.now() < deadline && r.w.guards.On(guard.DrainBeforeExit) {
-			r.after(drainCheck, check)
+			r.after(drainCheckInterval, check)
 			return
 		}
 		r.w.oracle.routerStopped(r)
 		beat := r.session.ClosingHeartbeat()
 		r.control.askOnce(control.Request{Heartbeat: &beat}, controlTimeout, func(control.Response, bool) {})
-		r.after(drainCheck, func() {
+		r.after(drainCheckInterval, func() {
 			r.kill(false)
 			then()
 		})
