--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -23,7 +23,7 @@
 	attemptTimeout      = 60 * time.Second
 	drainTimeout        = 40 * time.Second
 	drainCheckInterval  = 20 * time.Millisecond
-	replyLate           = 0.02 // share of heartbeat replies that arrive once more, late
+	lateReplyRatio      = 0.02 // share of heartbeat replies that arrive once more, late
 )
 
 // routerNode is a router process: the core, its session and its disk.
@@ -104,7 +104,7 @@
 			return
 		}
 		reply := *response.Heartbeat
-		if r.w.chance(replyLate) {
+		if r.w.chance(lateReplyRatio) {
 			r.after(r.w.between(0, 2*time.Second), func() { r.take(sent, reply, func(time.Duration) {}) })
 		}
 		r.take(sent, reply, func(pause time.Duration) { r.after(pause, r.beat) })
