--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -245,7 +245,7 @@
 			respond(func() {
 				said := pushback.Signals{Backoff: rest}
 				r.w.oracle.recordSignals(asker, said)
-				r.refused(s, action, life, said)
+				r.handleRejection(s, action, life, said)
 			})
 			return
 		}
@@ -261,7 +261,7 @@
 			case engine.AcceptedWithoutReuse:
 				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 			default:
-				r.refused(s, action, life, pushback.Signals{Draining: result == engine.RejectedDraining, Backoff: 100 * time.Millisecond})
+				r.handleRejection(s, action, life, pushback.Signals{Draining: result == engine.RejectedDraining, Backoff: 100 * time.Millisecond})
 			}
 		})
 	}, func(refused bool) { r.attemptEvent(s, core.EventAttempt{Kind: failureKind(refused)}) })
@@ -284,8 +284,8 @@
 }
 
 // attemptEvent passes what a back end answered to the core.
-// refused takes up an engine's refusal, with what it says of itself.
-func (r *routerNode) refused(s *sending, action core.ActionDispatch, life uint64, said pushback.Signals) {
+// handleRejection takes up an engine's refusal, with what it says of itself.
+func (r *routerNode) handleRejection(s *sending, action core.ActionDispatch, life uint64, said pushback.Signals) {
 	r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: said})
 	r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 }
