--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -58,14 +58,14 @@
 		Router: r.name, Zone: r.zone, Seed: r.w.random.Uint64(), BlockTokens: tokensPerBlock, IndexLimit: 2000,
 		ZoneLatency: map[string]time.Duration{}, ImportRate: 4000, Guards: r.w.guards,
 	})
-	held := session.Settings{}
+	saved := session.Settings{}
 	if r.w.guards.On(guard.PersistedSettings) {
-		held = r.syncedSettings
+		saved = r.syncedSettings
 	}
-	r.session = session.New(session.Identity{Router: r.name, Incarnation: r.incarnation, Zone: r.zone, Address: r.name}, held, heartbeatInterval, r.w.guards)
-	r.w.logf("%s starts as incarnation %d with settings %d", r.name, r.incarnation, held.Version)
-	if held.Version > 0 {
-		r.post(core.EventSettings{Version: held.Version, Tree: held.Tree})
+	r.session = session.New(session.Identity{Router: r.name, Incarnation: r.incarnation, Zone: r.zone, Address: r.name}, saved, heartbeatInterval, r.w.guards)
+	r.w.logf("%s starts as incarnation %d with settings %d", r.name, r.incarnation, saved.Version)
+	if saved.Version > 0 {
+		r.post(core.EventSettings{Version: saved.Version, Tree: saved.Tree})
 	}
 	r.beat()
 	r.readList()
