--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -134,11 +134,11 @@
 	if step.Peers == nil {
 		return []core.Event{step.Lease}
 	}
-	told := core.EventPeerRouters{}
+	peers := core.EventPeerRouters{}
 	for _, peer := range step.Peers {
-		told.Names = append(told.Names, peer.Name)
+		peers.Names = append(peers.Names, peer.Name)
 	}
-	return []core.Event{step.Lease, told}
+	return []core.Event{step.Lease, peers}
 }
 
 func (r *routerNode) readList() {
