--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -250,10 +250,10 @@
 			return
 		}
 		result := e.submit(action, s)
-		inNeed, limit, asker := e.advertised, e.advertised.limit(e.w.now()), pairOf(r.process, e.lifeName())
+		advertised, limit, asker := e.advertised, e.advertised.limit(e.w.now()), pairOf(r.process, e.lifeName())
 		respond(func() {
 			if limit.Advertised {
-				r.w.oracle.recordLimit(asker, inNeed)
+				r.w.oracle.recordLimit(asker, advertised)
 				r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: pushback.Signals{Limit: limit}})
 			}
 			switch result {
