--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -345,10 +345,10 @@
 }
 
 // announce tells the other routers of a send.
-func (r *routerNode) announce(send core.PeerDispatch) {
+func (r *routerNode) announce(dispatch core.PeerDispatch) {
 	for _, peer := range r.w.routers {
 		if peer != r {
-			r.w.message(r.process, peer.process, func() { peer.post(core.EventPeerDispatches{Sends: []core.PeerDispatch{send}}) })
+			r.w.message(r.process, peer.process, func() { peer.post(core.EventPeerDispatches{Sends: []core.PeerDispatch{dispatch}}) })
 		}
 	}
 }
