--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	modelService    = "llm"
-	weightsLoadTime = 400 * time.Millisecond
-	loadsAtOnce     = 2
-	cacheBlocks     = 120
-	eventLoss       = 0.03
-	mischiefShare   = 0.15
+	modelService       = "llm"
+	weightsLoadTime    = 400 * time.Millisecond
+	maxConcurrentLoads = 2
+	cacheBlocks        = 120
+	eventLoss          = 0.03
+	mischiefShare      = 0.15
 )
 
 // simRates are small and slow, so that a run needs few events.
@@ -205,7 +205,7 @@
 			loading++
 		}
 	}
-	accepted := e.model.HandleCall(e.w.now(), call, engine.ContendedLoadTime(weightsLoadTime, loading, loadsAtOnce))
+	accepted := e.model.HandleCall(e.w.now(), call, engine.ContendedLoadTime(weightsLoadTime, loading, maxConcurrentLoads))
 	if call.Order != nil {
 		e.w.logf("%s is ordered to load %s by %d/%d: accepted=%v", e.name, call.Order.Weights, call.Fence.Term, call.Fence.Sequence, accepted)
 	}
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -29,7 +29,7 @@
 // firstTree is what the operators start from.
 func firstTree() settings.Tree {
 	return settings.Tree{Nodes: map[settings.Path]settings.Overrides{
-		"/":   {SuspectAfterMS: pointer(1000), MaxConcurrentLoads: pointer(loadsAtOnce)},
+		"/":   {SuspectAfterMS: pointer(1000), MaxConcurrentLoads: pointer(maxConcurrentLoads)},
 		"/*":  {},
 		"/z3": {WhenCutOff: pointer("serve_last")},
 		"/*/" + modelService: {
