--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -16,7 +16,7 @@
 	weightsLoadTime    = 400 * time.Millisecond
 	maxConcurrentLoads = 2
 	cacheBlocks        = 120
-	eventLoss          = 0.03
+	eventLossRatio     = 0.03
 	mischiefShare      = 0.15
 )
 
@@ -27,7 +27,7 @@
 	rates.DecodeStep, rates.DecodePerSeq = 40*time.Millisecond, time.Millisecond
 	rates.ChunkTokens, rates.MaxBatch = 64, 8
 	rates.CacheBlocks, rates.CacheIdleTimeout = cacheBlocks, 8*time.Second
-	rates.EventLag, rates.EventLossRatio, rates.LoadLag = 200*time.Millisecond, eventLoss, 200*time.Millisecond
+	rates.EventLag, rates.EventLossRatio, rates.LoadLag = 200*time.Millisecond, eventLossRatio, 200*time.Millisecond
 	return rates
 }
 
