--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -17,7 +17,7 @@
 	maxConcurrentLoads = 2
 	cacheBlocks        = 120
 	eventLossRatio     = 0.03
-	mischiefShare      = 0.15
+	streamFaultRatio   = 0.15
 )
 
 // simRates are small and slow, so that a run needs few events.
@@ -156,7 +156,7 @@
 			}
 		})
 	}
-	if e.w.now() < e.w.mischief.streamsUntil && event.Kind != core.AttemptStarted && e.w.chance(mischiefShare) {
+	if e.w.now() < e.w.mischief.streamsUntil && event.Kind != core.AttemptStarted && e.w.chance(streamFaultRatio) {
 		e.misbehave(s, event, send)
 		return
 	}
