--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -43,8 +43,8 @@
 // answer is the whole answer of a small service.
 func (j *job) answer() string { return "done " + j.name }
 
-func (j *job) content(weights string, block int) content {
-	return content{tenant: j.tenant, weights: weights, text: j.segments[block]}
+func (j *job) content(weights string, block int) blockContent {
+	return blockContent{tenant: j.tenant, weights: weights, text: j.segments[block]}
 }
 
 // exchange is one send of a job to one router.
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -31,8 +31,8 @@
 	return rates
 }
 
-// content is what a cached block was computed from.
-type content struct {
+// blockContent is what a cached block was computed from.
+type blockContent struct {
 	tenant, weights, text string
 }
 
@@ -42,7 +42,7 @@
 	model      *engine.Model
 	lives      uint64
 	alarm      vtime.Alarm
-	cached     map[prefix.Hash]content
+	cached     map[prefix.Hash]blockContent
 	shed       rejection
 	advertised limitPeriod
 	ordered    control.Fence // highest order it ever began to carry out, over all lives
@@ -73,7 +73,7 @@
 func (e *engineNode) boot() {
 	e.start()
 	e.lives++
-	e.cached, e.shed, e.advertised = map[prefix.Hash]content{}, rejection{}, limitPeriod{}
+	e.cached, e.shed, e.advertised = map[prefix.Hash]blockContent{}, rejection{}, limitPeriod{}
 	weights := "w1"
 	if e.model != nil {
 		weights = e.model.Weights // they stay on the machine
