--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -39,13 +39,13 @@
 // engineNode is a model engine. cached is the oracle's record of what each block of this life really holds.
 type engineNode struct {
 	*process
-	model      *engine.Model
-	lives      uint64
-	alarm      vtime.Alarm
-	cached     map[prefix.Hash]blockContent
-	shed       rejection
-	advertised limitPeriod
-	ordered    control.Fence // highest order it ever began to carry out, over all lives
+	model       *engine.Model
+	incarnation uint64
+	alarm       vtime.Alarm
+	cached      map[prefix.Hash]blockContent
+	shed        rejection
+	advertised  limitPeriod
+	ordered     control.Fence // highest order it ever began to carry out, over all lives
 }
 
 // sending joins a job of the model to the attempt that waits for it.
@@ -72,16 +72,16 @@
 // boot starts a life with an empty cache.
 func (e *engineNode) boot() {
 	e.start()
-	e.lives++
+	e.incarnation++
 	e.cached, e.shed, e.advertised = map[prefix.Hash]blockContent{}, rejection{}, limitPeriod{}
 	weights := "w1"
 	if e.model != nil {
 		weights = e.model.Weights // they stay on the machine
 	}
-	e.model = engine.New(e.name, e.lives, weights, simRates(), tokensPerBlock, e.w.random.Uint64(), e.w.guards)
+	e.model = engine.New(e.name, e.incarnation, weights, simRates(), tokensPerBlock, e.w.random.Uint64(), e.w.guards)
 	e.model.Import = e.importFrom
 	e.alarm = vtime.Alarm{}
-	e.w.logf("%s starts as incarnation %d with weights %s", e.name, e.lives, weights)
+	e.w.logf("%s starts as incarnation %d with weights %s", e.name, e.incarnation, weights)
 	e.advance()
 }
 
@@ -97,7 +97,7 @@
 }
 
 // lifeName names the engine's present life.
-func (e *engineNode) lifeName() string { return fmt.Sprintf("%s/%d", e.name, e.lives) }
+func (e *engineNode) lifeName() string { return fmt.Sprintf("%s/%d", e.name, e.incarnation) }
 
 // submit takes a job, or returns why not.
 func (e *engineNode) submit(action core.ActionDispatch, s *sending) engine.SubmitResult {
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -239,7 +239,7 @@
 	r.w.oracle.checkSend(pairOf(r.process, e.lifeName()))
 	r.w.oracle.checkLimitedSend(pairOf(r.process, e.lifeName()), e.advertised)
 	r.w.call(r.process, e.process, attemptTimeout, func(respond func(func())) {
-		life := e.lives // that speaks, whichever was meant
+		life := e.incarnation // that speaks, whichever was meant
 		if rest := e.shed.requestedBackoff(e.w.now()); rest > 0 {
 			asker := pairOf(r.process, e.lifeName())
 			respond(func() {
