--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -41,7 +41,7 @@
 	*process
 	model       *engine.Model
 	incarnation uint64
-	alarm       vtime.Alarm
+	wakeup      vtime.Alarm
 	cached      map[prefix.Hash]blockContent
 	shed        rejection
 	advertised  limitPeriod
@@ -80,7 +80,7 @@
 	}
 	e.model = engine.New(e.name, e.incarnation, weights, simRates(), tokensPerBlock, e.w.random.Uint64(), e.w.guards)
 	e.model.Import = e.importFrom
-	e.alarm = vtime.Alarm{}
+	e.wakeup = vtime.Alarm{}
 	e.w.logf("%s starts as incarnation %d with weights %s", e.name, e.incarnation, weights)
 	e.advance()
 }
@@ -92,7 +92,7 @@
 	}
 	due, any := e.model.NextWakeup()
 	if any {
-		e.alarm.Set(e.w.now(), due, time.Microsecond, e.after, e.advance)
+		e.wakeup.Set(e.w.now(), due, time.Microsecond, e.after, e.advance)
 	}
 }
 
