--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -45,7 +45,7 @@
 	cached      map[prefix.Hash]blockContent
 	shed        rejection
 	advertised  limitPeriod
-	ordered     control.Fence // highest order it ever began to carry out, over all lives
+	lastOrder   control.Fence // highest order it ever began to carry out, over all lives
 }
 
 // sending joins a job of the model to the attempt that waits for it.
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -157,11 +157,11 @@
 
 // engineLoads checks that an engine never carries out an older order after a newer one.
 func (o *oracle) engineLoads(e *engineNode, call control.EngineCall) {
-	if call.Fence.Less(e.ordered) {
+	if call.Fence.Less(e.lastOrder) {
 		o.fail(SettingsDurable, "%s loads %s by order %d/%d after order %d/%d",
-			e.name, call.Order.Weights, call.Fence.Term, call.Fence.Sequence, e.ordered.Term, e.ordered.Sequence)
+			e.name, call.Order.Weights, call.Fence.Term, call.Fence.Sequence, e.lastOrder.Term, e.lastOrder.Sequence)
 	}
-	e.ordered = call.Fence
+	e.lastOrder = call.Fence
 }
 
 func (o *oracle) serviceRan(s *serviceNode, run *exchange) {
