--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -50,22 +50,22 @@
 
 // sending joins a job of the model to the attempt that waits for it.
 type sending struct {
-	engine  *engineNode
-	request *exchange
-	attempt core.AttemptID
-	stream  *stream
-	router  *routerNode
-	over    bool
+	engine   *engineNode
+	request  *exchange
+	attempt  core.AttemptID
+	stream   *stream
+	router   *routerNode
+	finished bool
 }
 
-func (s *sending) ended() bool { return s.over }
+func (s *sending) ended() bool { return s.finished }
 
 // reset tells the router that the connection broke.
 func (s *sending) reset() {
-	if s.over {
+	if s.finished {
 		return
 	}
-	s.over = true
+	s.finished = true
 	s.router.run(s.stream.toLife, func() { s.router.attemptEvent(s, core.EventAttempt{Kind: core.AttemptBroken}) })
 }
 
@@ -150,8 +150,8 @@
 func (e *engineNode) transmit(s *sending, event core.EventAttempt) {
 	send := func(event core.EventAttempt) {
 		s.stream.send(func() {
-			if !s.over {
-				s.over = event.Kind == core.AttemptDone
+			if !s.finished {
+				s.finished = event.Kind == core.AttemptDone
 				s.router.attemptEvent(s, event)
 			}
 		})
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -301,7 +301,7 @@
 		return
 	}
 	delete(r.attempts, attempt)
-	s.over = true
+	s.finished = true
 	origin := fmt.Sprintf("%s#%d", r.name, r.generation)
 	r.w.message(r.process, s.engine.process, func() {
 		s.engine.model.Cancel(origin, attempt)
