--- a/internal/lab/sim/services.go
+++ b/internal/lab/sim/services.go
@@ -12,13 +12,13 @@
 // serviceNode is a small back end whose requests may not be repeated.
 type serviceNode struct {
 	*process
-	lives   uint64
-	running int
+	incarnation uint64
+	running     int
 }
 
 func (s *serviceNode) boot() {
 	s.start()
-	s.lives++
+	s.incarnation++
 	s.running = 0
 }
 
@@ -44,7 +44,7 @@
 }
 
 func (s *serviceNode) report() *core.BackendReport {
-	return &core.BackendReport{Incarnation: s.lives, Load: core.Load{Running: s.running}}
+	return &core.BackendReport{Incarnation: s.incarnation, Load: core.Load{Running: s.running}}
 }
 
 // service returns a small back end by name, or nil.
