--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	requestGap     = 140 * time.Millisecond // mean
-	smallShare     = 0.4
-	templates      = 4 // shared by all tenants, text for text
-	templateBlocks = 4
-	streamSends    = 4
-	smallSends     = 6
-	patience       = 45 * time.Second
-	impatientShare = 0.08 // callers who send again while they wait
-	hangUpShare    = 0.02
-	testDigest     = 7
+	meanRequestInterval = 140 * time.Millisecond // mean
+	smallShare          = 0.4
+	templates           = 4 // shared by all tenants, text for text
+	templateBlocks      = 4
+	streamSends         = 4
+	smallSends          = 6
+	patience            = 45 * time.Second
+	impatientShare      = 0.08 // callers who send again while they wait
+	hangUpShare         = 0.02
+	testDigest          = 7
 )
 
 var tenants = []string{"amber", "birch", "cedar"}
@@ -79,7 +79,7 @@
 		return
 	}
 	c.sendAnywhere(c.newJob(), 0)
-	c.after(time.Duration(c.w.random.ExpFloat64()*float64(requestGap)), c.arrive)
+	c.after(time.Duration(c.w.random.ExpFloat64()*float64(meanRequestInterval)), c.arrive)
 }
 
 func (c *callers) newJob() *job {
