--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -12,7 +12,7 @@
 
 const (
 	meanRequestInterval = 140 * time.Millisecond // mean
-	smallShare          = 0.4
+	serviceRequestRatio = 0.4
 	templates           = 4 // shared by all tenants, text for text
 	templateBlocks      = 4
 	streamSends         = 4
@@ -84,7 +84,7 @@
 
 func (c *callers) newJob() *job {
 	c.numbers++
-	fresh := &job{w: c.w, name: fmt.Sprintf("q%d", c.numbers), tenant: pick(c.w, tenants), small: c.w.chance(smallShare)}
+	fresh := &job{w: c.w, name: fmt.Sprintf("q%d", c.numbers), tenant: pick(c.w, tenants), small: c.w.chance(serviceRequestRatio)}
 	if fresh.small {
 		return fresh
 	}
