--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -15,7 +15,7 @@
 	serviceRequestRatio = 0.4
 	templates           = 4 // shared by all tenants, text for text
 	templateBlocks      = 4
-	streamSends         = 4
+	maxModelSends       = 4
 	smallSends          = 6
 	patience            = 45 * time.Second
 	impatientShare      = 0.08 // callers who send again while they wait
@@ -178,7 +178,7 @@
 // again sends a job once more, unless it has been sent often enough.
 func (c *callers) again(run *exchange, after time.Duration) {
 	j := run.job
-	limit := streamSends
+	limit := maxModelSends
 	if j.small {
 		limit = smallSends
 	}
