--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -16,7 +16,7 @@
 	templates           = 4 // shared by all tenants, text for text
 	templateBlocks      = 4
 	maxModelSends       = 4
-	smallSends          = 6
+	maxServiceSends     = 6
 	patience            = 45 * time.Second
 	impatientShare      = 0.08 // callers who send again while they wait
 	hangUpShare         = 0.02
@@ -128,7 +128,7 @@
 	c.w.after(c.w.latency(c.process, router.process), func() {
 		router.run(life, func() { router.arrive(run) })
 	})
-	if j.small && c.w.chance(impatientShare) && j.sends < smallSends {
+	if j.small && c.w.chance(impatientShare) && j.sends < maxServiceSends {
 		c.after(c.w.between(20*time.Millisecond, time.Second), func() { c.sendAnywhere(j, 0) })
 	}
 	c.after(patience, func() { c.hangUp(run) })
@@ -180,7 +180,7 @@
 	j := run.job
 	limit := maxModelSends
 	if j.small {
-		limit = smallSends
+		limit = maxServiceSends
 	}
 	if j.done || j.sends >= limit || c.w.now() > activeTime+settleTime/3 {
 		return
