--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -17,7 +17,7 @@
 	templateBlocks      = 4
 	maxModelSends       = 4
 	maxServiceSends     = 6
-	patience            = 45 * time.Second
+	callerTimeout       = 45 * time.Second
 	impatientShare      = 0.08 // callers who send again while they wait
 	hangUpShare         = 0.02
 	testDigest          = 7
@@ -131,7 +131,7 @@
 	if j.small && c.w.chance(impatientShare) && j.sends < maxServiceSends {
 		c.after(c.w.between(20*time.Millisecond, time.Second), func() { c.sendAnywhere(j, 0) })
 	}
-	c.after(patience, func() { c.hangUp(run) })
+	c.after(callerTimeout, func() { c.hangUp(run) })
 	if !j.small && c.w.chance(hangUpShare) {
 		c.after(c.w.between(0, time.Second), func() { c.hangUp(run) })
 	}
