--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -18,7 +18,7 @@
 	maxModelSends       = 4
 	maxServiceSends     = 6
 	callerTimeout       = 45 * time.Second
-	impatientShare      = 0.08 // callers who send again while they wait
+	earlyRetryRatio     = 0.08 // callers who send again while they wait
 	hangUpShare         = 0.02
 	testDigest          = 7
 )
@@ -128,7 +128,7 @@
 	c.w.after(c.w.latency(c.process, router.process), func() {
 		router.run(life, func() { router.arrive(run) })
 	})
-	if j.small && c.w.chance(impatientShare) && j.sends < maxServiceSends {
+	if j.small && c.w.chance(earlyRetryRatio) && j.sends < maxServiceSends {
 		c.after(c.w.between(20*time.Millisecond, time.Second), func() { c.sendAnywhere(j, 0) })
 	}
 	c.after(callerTimeout, func() { c.hangUp(run) })
