--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -19,7 +19,7 @@
 	maxServiceSends     = 6
 	callerTimeout       = 45 * time.Second
 	earlyRetryRatio     = 0.08 // callers who send again while they wait
-	hangUpShare         = 0.02
+	disconnectRatio     = 0.02
 	testDigest          = 7
 )
 
@@ -132,7 +132,7 @@
 		c.after(c.w.between(20*time.Millisecond, time.Second), func() { c.sendAnywhere(j, 0) })
 	}
 	c.after(callerTimeout, func() { c.hangUp(run) })
-	if !j.small && c.w.chance(hangUpShare) {
+	if !j.small && c.w.chance(disconnectRatio) {
 		c.after(c.w.between(0, time.Second), func() { c.hangUp(run) })
 	}
 }
