--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -20,7 +20,7 @@
 	callerTimeout       = 45 * time.Second
 	earlyRetryRatio     = 0.08 // callers who send again while they wait
 	disconnectRatio     = 0.02
-	testDigest          = 7
+	requestDigest       = 7
 )
 
 var tenants = []string{"amber", "birch", "cedar"}
@@ -147,7 +147,7 @@
 		MaxTokens: run.job.maxTokens, ResumeFrom: run.resumeFrom,
 	}
 	if run.job.small {
-		request.Service, request.Key, request.Digest, request.PromptTokens = smallService, run.job.name, testDigest, 1
+		request.Service, request.Key, request.Digest, request.PromptTokens = smallService, run.job.name, requestDigest, 1
 	} else {
 		text := []byte(strings.Join(run.job.segments, ""))
 		for _, weights := range r.core.WeightsInUse(modelService) {
