--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -30,7 +30,7 @@
 	w         *world
 	name      string
 	tenant    string
-	small     bool
+	toService bool
 	segments  []string // texts of the prompt's blocks
 	maxTokens int
 	sends     int
@@ -84,8 +84,8 @@
 
 func (c *callers) newJob() *job {
 	c.numbers++
-	fresh := &job{w: c.w, name: fmt.Sprintf("q%d", c.numbers), tenant: pick(c.w, tenants), small: c.w.chance(serviceRequestRatio)}
-	if fresh.small {
+	fresh := &job{w: c.w, name: fmt.Sprintf("q%d", c.numbers), tenant: pick(c.w, tenants), toService: c.w.chance(serviceRequestRatio)}
+	if fresh.toService {
 		return fresh
 	}
 	template := (c.hot + c.w.random.IntN(templates)*c.w.random.IntN(2)) % (templates * 4)
@@ -128,11 +128,11 @@
 	c.w.after(c.w.latency(c.process, router.process), func() {
 		router.run(life, func() { router.arrive(run) })
 	})
-	if j.small && c.w.chance(earlyRetryRatio) && j.sends < maxServiceSends {
+	if j.toService && c.w.chance(earlyRetryRatio) && j.sends < maxServiceSends {
 		c.after(c.w.between(20*time.Millisecond, time.Second), func() { c.sendAnywhere(j, 0) })
 	}
 	c.after(callerTimeout, func() { c.hangUp(run) })
-	if !j.small && c.w.chance(disconnectRatio) {
+	if !j.toService && c.w.chance(disconnectRatio) {
 		c.after(c.w.between(0, time.Second), func() { c.hangUp(run) })
 	}
 }
@@ -146,7 +146,7 @@
 		ID: run.id, Name: run.job.name, Tenant: run.job.tenant, Service: modelService, PromptTokens: run.promptTokens(),
 		MaxTokens: run.job.maxTokens, ResumeFrom: run.resumeFrom,
 	}
-	if run.job.small {
+	if run.job.toService {
 		request.Service, request.Key, request.Digest, request.PromptTokens = smallService, run.job.name, requestDigest, 1
 	} else {
 		text := []byte(strings.Join(run.job.segments, ""))
@@ -170,7 +170,7 @@
 			run.router.post(core.EventCallerGone{ID: run.id})
 		}
 	})
-	if run.job.small {
+	if run.job.toService {
 		c.again(run, 100*time.Millisecond)
 	}
 }
@@ -179,14 +179,14 @@
 func (c *callers) again(run *exchange, after time.Duration) {
 	j := run.job
 	limit := maxModelSends
-	if j.small {
+	if j.toService {
 		limit = maxServiceSends
 	}
 	if j.done || j.sends >= limit || c.w.now() > activeTime+settleTime/3 {
 		return
 	}
 	resume := 0
-	if !j.small && c.w.chance(0.5) {
+	if !j.toService && c.w.chance(0.5) {
 		resume = run.next
 	}
 	c.after(after+c.w.between(0, 300*time.Millisecond), func() {
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -180,7 +180,7 @@
 func (o *oracle) routerFinished(r *routerNode, run *exchange, final core.ActionFinish) {
 	if final.Run == core.RunNot {
 		o.reportedNotRun[run] = true
-		if run.ran || (run.job.small && o.runsByKey[run.job.tenant+"/"+run.job.name] > 0) {
+		if run.ran || (run.job.toService && o.runsByKey[run.job.tenant+"/"+run.job.name] > 0) {
 			o.fail(NotRunHonored, "%s refused %s as not run (%s), but it ran", r.name, run.job.name, final.Reason)
 		}
 	}
@@ -245,7 +245,7 @@
 		return
 	}
 	o.complete++
-	if run.job.small {
+	if run.job.toService {
 		if got := answerOf(final.Answer); got != run.job.answer() {
 			o.fail(CorrectResponse, "%s got the answer %q", run.job.name, got)
 		}
