--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -53,7 +53,7 @@
 	id         core.RequestID
 	router     *routerNode
 	toCaller   *stream
-	next       int // token that the caller expects
+	nextToken  int // token that the caller expects
 	resumeFrom int
 	over       bool
 	ran        bool // a back end took it
@@ -115,7 +115,7 @@
 // sendTo sends a job to one router.
 func (c *callers) sendTo(j *job, router *routerNode, resumeFrom int) {
 	j.sends++
-	run := &exchange{job: j, router: router, next: resumeFrom, resumeFrom: resumeFrom}
+	run := &exchange{job: j, router: router, nextToken: resumeFrom, resumeFrom: resumeFrom}
 	c.w.oracle.requests++
 	if !router.up {
 		c.after(refusalDelay, func() { c.again(run, 100*time.Millisecond) })
@@ -187,7 +187,7 @@
 	}
 	resume := 0
 	if !j.toService && c.w.chance(0.5) {
-		resume = run.next
+		resume = run.nextToken
 	}
 	c.after(after+c.w.between(0, 300*time.Millisecond), func() {
 		if !j.done {
@@ -203,7 +203,7 @@
 			return
 		}
 		e.job.w.oracle.callerReceived(e, action)
-		e.next++
+		e.nextToken++
 	})
 }
 
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -229,9 +229,9 @@
 
 // callerReceived checks a token.
 func (o *oracle) callerReceived(run *exchange, chunk core.ActionChunk) {
-	wanted := run.job.token(run.next)
+	wanted := run.job.token(run.nextToken)
 	switch {
-	case chunk.Text == wanted && chunk.Index == run.next:
+	case chunk.Text == wanted && chunk.Index == run.nextToken:
 	case len(chunk.Text) > len(run.job.name) && chunk.Text[:len(run.job.name)+1] == run.job.name+":":
 		o.fail(StreamComplete, "%s got token %d as %q, wanted %q", run.job.name, chunk.Index, chunk.Text, wanted)
 	default:
@@ -251,8 +251,8 @@
 		}
 		return
 	}
-	if run.next != run.job.maxTokens || final.Tokens != run.job.maxTokens {
-		o.fail(StreamComplete, "%s ended as complete after token %d of %d", run.job.name, run.next, run.job.maxTokens)
+	if run.nextToken != run.job.maxTokens || final.Tokens != run.job.maxTokens {
+		o.fail(StreamComplete, "%s ended as complete after token %d of %d", run.job.name, run.nextToken, run.job.maxTokens)
 	}
 }
 
