--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -55,7 +55,7 @@
 	toCaller   *stream
 	nextToken  int // token that the caller expects
 	resumeFrom int
-	over       bool
+	finished   bool
 	ran        bool // a back end took it
 }
 
@@ -159,10 +159,10 @@
 
 // hangUp ends an exchange that the caller no longer waits for.
 func (c *callers) hangUp(run *exchange) {
-	if run.over {
+	if run.finished {
 		return
 	}
-	run.over = true
+	run.finished = true
 	run.toCaller.closed = true
 	run.router.run(run.toCaller.fromLife, func() {
 		if run.router.exchanges[run.id] == run {
@@ -199,7 +199,7 @@
 // chunk sends a token to the caller, who checks it.
 func (e *exchange) chunk(action core.ActionChunk) {
 	e.toCaller.send(func() {
-		if e.over {
+		if e.finished {
 			return
 		}
 		e.job.w.oracle.callerReceived(e, action)
@@ -210,10 +210,10 @@
 // final sends the final answer to the caller, who checks it and may send again.
 func (e *exchange) final(action core.ActionFinish) {
 	e.toCaller.send(func() {
-		if e.over {
+		if e.finished {
 			return
 		}
-		e.over = true
+		e.finished = true
 		w := e.job.w
 		w.oracle.callerFinished(e, action)
 		if action.Reason == core.ReasonComplete || action.Reason == core.ReasonReplayed {
@@ -225,15 +225,15 @@
 	})
 }
 
-func (e *exchange) ended() bool { return e.over }
+func (e *exchange) ended() bool { return e.finished }
 
 // reset tells the caller that the connection died.
 func (e *exchange) reset() {
 	e.toCaller.send(func() {
-		if e.over {
+		if e.finished {
 			return
 		}
-		e.over = true
+		e.finished = true
 		e.job.w.logf("%s at %s: connection broken", e.job.name, e.router.name)
 		e.job.w.callers.again(e, 50*time.Millisecond)
 	})
