--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -56,7 +56,7 @@
 	nextToken  int // token that the caller expects
 	resumeFrom int
 	finished   bool
-	ran        bool // a back end took it
+	executed   bool // a back end took it
 }
 
 func (e *exchange) promptTokens() int { return len(e.job.segments)*tokensPerBlock + 1 }
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -125,7 +125,7 @@
 // engineAccepted checks a job at the moment an engine takes it.
 func (o *oracle) engineAccepted(e *engineNode, job *engine.Job, s *sending, result engine.SubmitResult) {
 	run := s.request
-	run.ran = true
+	run.executed = true
 	if o.reportedNotRun[run] {
 		o.fail(NotRunHonored, "%s took %s, which was refused as not run", e.name, run.job.name)
 	}
@@ -165,7 +165,7 @@
 }
 
 func (o *oracle) serviceRan(s *serviceNode, run *exchange) {
-	run.ran = true
+	run.executed = true
 	key := run.job.tenant + "/" + run.job.name
 	o.runsByKey[key]++
 	if o.runsByKey[key] > 1 {
@@ -180,7 +180,7 @@
 func (o *oracle) routerFinished(r *routerNode, run *exchange, final core.ActionFinish) {
 	if final.Run == core.RunNot {
 		o.reportedNotRun[run] = true
-		if run.ran || (run.job.toService && o.runsByKey[run.job.tenant+"/"+run.job.name] > 0) {
+		if run.executed || (run.job.toService && o.runsByKey[run.job.tenant+"/"+run.job.name] > 0) {
 			o.fail(NotRunHonored, "%s refused %s as not run (%s), but it ran", r.name, run.job.name, final.Reason)
 		}
 	}
