--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -64,9 +64,9 @@
 // callers are everybody who sends requests.
 type callers struct {
 	*process
-	numbers int
-	hot     int // raised when other templates become hot
-	open    []*exchange
+	jobCount int
+	hot      int // raised when other templates become hot
+	open     []*exchange
 }
 
 func (c *callers) boot() {
@@ -83,8 +83,8 @@
 }
 
 func (c *callers) newJob() *job {
-	c.numbers++
-	fresh := &job{w: c.w, name: fmt.Sprintf("q%d", c.numbers), tenant: pick(c.w, tenants), toService: c.w.chance(serviceRequestRatio)}
+	c.jobCount++
+	fresh := &job{w: c.w, name: fmt.Sprintf("q%d", c.jobCount), tenant: pick(c.w, tenants), toService: c.w.chance(serviceRequestRatio)}
 	if fresh.toService {
 		return fresh
 	}
