--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -64,9 +64,9 @@
 // callers are everybody who sends requests.
 type callers struct {
 	*process
-	jobCount int
-	hot      int // raised when other templates become hot
-	open     []*exchange
+	jobCount          int
+	hotTemplateOffset int // raised when other templates become hot
+	open              []*exchange
 }
 
 func (c *callers) boot() {
@@ -88,7 +88,7 @@
 	if fresh.toService {
 		return fresh
 	}
-	template := (c.hot + c.w.random.IntN(templates)*c.w.random.IntN(2)) % (templates * 4)
+	template := (c.hotTemplateOffset + c.w.random.IntN(templates)*c.w.random.IntN(2)) % (templates * 4)
 	for block := range templateBlocks {
 		fresh.segments = append(fresh.segments, segment(fmt.Sprintf("template %d", template), block))
 	}
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -382,4 +382,4 @@
 	w.oracle.updateWallSkews()
 }
 
-func (w *world) faultShiftHotPrefix() { w.callers.hot += 3 }
+func (w *world) faultShiftHotPrefix() { w.callers.hotTemplateOffset += 3 }
