--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -66,7 +66,7 @@
 	*process
 	jobCount          int
 	hotTemplateOffset int // raised when other templates become hot
-	open              []*exchange
+	exchanges         []*exchange
 }
 
 func (c *callers) boot() {
@@ -123,7 +123,7 @@
 	}
 	run.toCaller = c.w.newStream(router.process, c.process)
 	router.trackConnection(run)
-	c.open = append(c.open, run)
+	c.exchanges = append(c.exchanges, run)
 	life := router.generation
 	c.w.after(c.w.latency(c.process, router.process), func() {
 		router.run(life, func() { router.arrive(run) })
--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -85,7 +85,7 @@
 
 // checkAnswered checks that no caller still waits.
 func (o *oracle) checkAnswered() {
-	for _, run := range o.w.callers.open {
+	for _, run := range o.w.callers.exchanges {
 		if !run.finished {
 			o.fail(CorrectResponse, "%s, sent to %s, was never answered", run.job.name, run.router.name)
 			return
