--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -40,8 +40,8 @@
 // token is the text of one token of the job's answer.
 func (j *job) token(index int) string { return fmt.Sprintf("%s:%d", j.name, index) }
 
-// answer is the whole answer of a small service.
-func (j *job) answer() string { return "done " + j.name }
+// responseBody is the whole responseBody of a small service.
+func (j *job) responseBody() string { return "done " + j.name }
 
 func (j *job) content(weights string, block int) blockContent {
 	return blockContent{tenant: j.tenant, weights: weights, text: j.segments[block]}
--- a/internal/lab/sim/services.go
+++ b/internal/lab/sim/services.go
@@ -39,7 +39,7 @@
 			answer(core.EventAttempt{Kind: core.AttemptBroken})
 			return
 		}
-		answer(core.EventAttempt{Kind: core.AttemptDone, Echo: attempt, Answer: &ledger.Response{Status: 200, Body: []byte(run.job.answer())}})
+		answer(core.EventAttempt{Kind: core.AttemptDone, Echo: attempt, Answer: &ledger.Response{Status: 200, Body: []byte(run.job.responseBody())}})
 	})
 }
 
