--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -239,8 +239,8 @@
 	})
 }
 
-// answerOf returns the body of a stored answer.
-func answerOf(answer *ledger.Response) string {
+// bodyOf returns the body of a stored answer.
+func bodyOf(answer *ledger.Response) string {
 	if answer == nil {
 		return ""
 	}
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -246,7 +246,7 @@
 	}
 	o.complete++
 	if run.job.toService {
-		if got := answerOf(final.Answer); got != run.job.responseBody() {
+		if got := bodyOf(final.Answer); got != run.job.responseBody() {
 			o.fail(CorrectResponse, "%s got the answer %q", run.job.name, got)
 		}
 		return
