--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -84,20 +84,20 @@
 
 func (c *callers) newJob() *job {
 	c.jobCount++
-	fresh := &job{w: c.w, name: fmt.Sprintf("q%d", c.jobCount), tenant: pick(c.w, tenants), toService: c.w.chance(serviceRequestRatio)}
-	if fresh.toService {
-		return fresh
+	created := &job{w: c.w, name: fmt.Sprintf("q%d", c.jobCount), tenant: pick(c.w, tenants), toService: c.w.chance(serviceRequestRatio)}
+	if created.toService {
+		return created
 	}
 	template := (c.hotTemplateOffset + c.w.random.IntN(templates)*c.w.random.IntN(2)) % (templates * 4)
 	for block := range templateBlocks {
-		fresh.segments = append(fresh.segments, segment(fmt.Sprintf("template %d", template), block))
+		created.segments = append(created.segments, segment(fmt.Sprintf("template %d", template), block))
 	}
 	document := c.w.random.IntN(30)
 	for block := range 1 + c.w.random.IntN(5) {
-		fresh.segments = append(fresh.segments, segment(fmt.Sprintf("document %d", document), block))
+		created.segments = append(created.segments, segment(fmt.Sprintf("document %d", document), block))
 	}
-	fresh.maxTokens = 2 + c.w.random.IntN(8)
-	return fresh
+	created.maxTokens = 2 + c.w.random.IntN(8)
+	return created
 }
 
 // segment is the text of one block.
