--- a/internal/lab/sim/history.go
+++ b/internal/lab/sim/history.go
@@ -31,8 +31,8 @@
 	open       map[string]*Operation // without an answer so far, by client and id
 }
 
-// identity names what a request's resends have in common, or "" for reads.
-func identity(client string, request control.Request) string {
+// operationKey names what a request's resends have in common, or "" for reads.
+func operationKey(client string, request control.Request) string {
 	switch {
 	case request.Change != nil:
 		return client + "/change/" + request.Change.OperationID
@@ -46,7 +46,7 @@
 
 // begin returns the operation that a request belongs to.
 func (h *History) begin(now time.Duration, client string, request control.Request) *Operation {
-	id := identity(client, request)
+	id := operationKey(client, request)
 	if held := h.open[id]; held != nil && id != "" {
 		held.Sends++
 		return held
@@ -69,7 +69,7 @@
 		}
 		operation.Returned, operation.Answered = w.now(), true
 		operation.Outcome, operation.Read, operation.Claimed = response.Change, response.Read, response.Claim
-		delete(w.history.open, identity(client, request))
+		delete(w.history.open, operationKey(client, request))
 	}
 }
 
