--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -20,7 +20,7 @@
 // operator edits the tree and resends when an answer is lost.
 type operator struct {
 	*process
-	asker   *controlClient
+	control *controlClient
 	changes int
 }
 
@@ -44,7 +44,7 @@
 
 func (o *operator) boot(first bool) {
 	o.start()
-	o.asker = newControlClient(o.w, o.process)
+	o.control = newControlClient(o.w, o.process)
 	o.ticker(readPeriod, o.read)
 	if first {
 		o.after(time.Second, o.plant)
@@ -66,7 +66,7 @@
 // read looks at the current version; it must never be older than what anybody was told before.
 func (o *operator) read() {
 	floor := o.w.oracle.acknowledged
-	o.asker.askOnce(control.Request{Read: &control.Read{}}, controlTimeout, func(response control.Response, answered bool) {
+	o.control.askOnce(control.Request{Read: &control.Read{}}, controlTimeout, func(response control.Response, answered bool) {
 		if answered && response.Read != nil {
 			o.w.oracle.operatorRead(o.name, floor, response.Read)
 		}
@@ -79,7 +79,7 @@
 		return
 	}
 	o.after(o.w.between(changePause/2, 2*changePause), o.edit)
-	o.asker.askOnce(control.Request{Read: &control.Read{}}, controlTimeout, func(response control.Response, answered bool) {
+	o.control.askOnce(control.Request{Read: &control.Read{}}, controlTimeout, func(response control.Response, answered bool) {
 		if !answered || response.Read == nil || response.Read.Version == 0 {
 			return
 		}
@@ -122,7 +122,7 @@
 			o.after(o.w.between(50*time.Millisecond, 500*time.Millisecond), func() { o.send(change, left-1) })
 		}
 	}
-	o.asker.askOnce(control.Request{Change: &change}, controlTimeout, func(response control.Response, answered bool) {
+	o.control.askOnce(control.Request{Change: &change}, controlTimeout, func(response control.Response, answered bool) {
 		if !answered || response.Change == nil || o.w.chance(lostAnswer) {
 			again()
 			return
