--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -64,7 +64,7 @@
 	if o.w.chance(0.1) && document.Revision > 4 {
 		document.Revision -= 4
 	}
-	o.send(document, changeResends)
+	o.send(document, maxChangeResends)
 }
 
 func (o *fleetOperator) send(document catalog.Document, left int) {
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	changeResends = 8
-	changePause   = 2 * time.Second
-	lostAnswer    = 0.15 // share of operators' answers that are lost on the way
-	resendAnyway  = 0.1  // share of answered changes that are sent once more
-	readPeriod    = 700 * time.Millisecond
+	maxChangeResends = 8
+	changePause      = 2 * time.Second
+	lostAnswer       = 0.15 // share of operators' answers that are lost on the way
+	resendAnyway     = 0.1  // share of answered changes that are sent once more
+	readPeriod       = 700 * time.Millisecond
 )
 
 // operator edits the tree and resends when an answer is lost.
@@ -113,7 +113,7 @@
 	o.changes++
 	change := settings.Change{Base: base, OperationID: fmt.Sprintf("%s-%d", o.name, o.changes), Author: o.name, Edits: edits}
 	o.w.oracle.changes++
-	o.send(change, changeResends)
+	o.send(change, maxChangeResends)
 }
 
 func (o *operator) send(change settings.Change, left int) {
