--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -11,7 +11,7 @@
 
 const (
 	maxChangeResends = 8
-	changePause      = 2 * time.Second
+	changeInterval   = 2 * time.Second
 	lostAnswer       = 0.15 // share of operators' answers that are lost on the way
 	resendAnyway     = 0.1  // share of answered changes that are sent once more
 	readPeriod       = 700 * time.Millisecond
@@ -78,7 +78,7 @@
 	if o.w.now() > activeTime {
 		return
 	}
-	o.after(o.w.between(changePause/2, 2*changePause), o.edit)
+	o.after(o.w.between(changeInterval/2, 2*changeInterval), o.edit)
 	o.control.askOnce(control.Request{Read: &control.Read{}}, controlTimeout, func(response control.Response, answered bool) {
 		if !answered || response.Read == nil || response.Read.Version == 0 {
 			return
