--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -70,7 +70,7 @@
 func (o *fleetOperator) send(document catalog.Document, left int) {
 	request := control.Request{Catalog: &catalog.Command{Replace: &document}}
 	o.asker.askOnce(request, controlTimeout, func(response control.Response, answered bool) {
-		if answered && response.Catalog != nil && !o.w.chance(lostAnswer) {
+		if answered && response.Catalog != nil && !o.w.chance(lostReplyRatio) {
 			o.w.oracle.recordDocumentAck(document.Revision)
 			return
 		}
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -12,7 +12,7 @@
 const (
 	maxChangeResends = 8
 	changeInterval   = 2 * time.Second
-	lostAnswer       = 0.15 // share of operators' answers that are lost on the way
+	lostReplyRatio   = 0.15 // share of operators' answers that are lost on the way
 	resendAnyway     = 0.1  // share of answered changes that are sent once more
 	readPeriod       = 700 * time.Millisecond
 )
@@ -123,7 +123,7 @@
 		}
 	}
 	o.control.askOnce(control.Request{Change: &change}, controlTimeout, func(response control.Response, answered bool) {
-		if !answered || response.Change == nil || o.w.chance(lostAnswer) {
+		if !answered || response.Change == nil || o.w.chance(lostReplyRatio) {
 			again()
 			return
 		}
