--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxChangeResends = 8
-	changeInterval   = 2 * time.Second
-	lostReplyRatio   = 0.15 // share of operators' answers that are lost on the way
-	resendAnyway     = 0.1  // share of answered changes that are sent once more
-	readPeriod       = 700 * time.Millisecond
+	maxChangeResends     = 8
+	changeInterval       = 2 * time.Second
+	lostReplyRatio       = 0.15 // share of operators' answers that are lost on the way
+	duplicateChangeRatio = 0.1  // share of answered changes that are sent once more
+	readPeriod           = 700 * time.Millisecond
 )
 
 // operator edits the tree and resends when an answer is lost.
@@ -128,7 +128,7 @@
 			return
 		}
 		o.w.oracle.operatorOutcome(change, *response.Change)
-		if o.w.chance(resendAnyway) {
+		if o.w.chance(duplicateChangeRatio) {
 			again()
 		}
 	})
