--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -14,7 +14,7 @@
 	changeInterval       = 2 * time.Second
 	lostReplyRatio       = 0.15 // share of operators' answers that are lost on the way
 	duplicateChangeRatio = 0.1  // share of answered changes that are sent once more
-	readPeriod           = 700 * time.Millisecond
+	readInterval         = 700 * time.Millisecond
 )
 
 // operator edits the tree and resends when an answer is lost.
@@ -45,7 +45,7 @@
 func (o *operator) boot(first bool) {
 	o.start()
 	o.control = newControlClient(o.w, o.process)
-	o.ticker(readPeriod, o.read)
+	o.ticker(readInterval, o.read)
 	if first {
 		o.after(time.Second, o.plant)
 		return
