--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -26,8 +26,8 @@
 
 func pointer[T any](value T) *T { return &value }
 
-// firstTree is what the operators start from.
-func firstTree() settings.Tree {
+// initialTree is what the operators start from.
+func initialTree() settings.Tree {
 	return settings.Tree{Nodes: map[settings.Path]settings.Overrides{
 		"/":   {SuspectAfterMS: pointer(1000), MaxConcurrentLoads: pointer(maxConcurrentLoads)},
 		"/*":  {},
@@ -59,7 +59,7 @@
 		o.edit()
 		return
 	}
-	o.submit(0, settings.DiffEdits(settings.NewTree(), firstTree()))
+	o.submit(0, settings.DiffEdits(settings.NewTree(), initialTree()))
 	o.after(3*time.Second, o.plant)
 }
 
