--- a/internal/lab/sim/history.go
+++ b/internal/lab/sim/history.go
@@ -75,7 +75,7 @@
 
 // RunWithHistory runs one seed and returns every request to the control group besides the result.
 func RunWithHistory(seed uint64) (Result, History) {
-	w := newWorld(seed, noGuardOff, nil)
+	w := newWorld(seed, allGuardsOn, nil)
 	w.history = &History{open: map[string]*Operation{}}
 	return w.finish(), *w.history
 }
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/prefix"
 )
 
-// noGuardOff is the set with every protection on.
-var noGuardOff = guard.Set{}
+// allGuardsOn is the set with every protection on.
+var allGuardsOn = guard.Set{}
 
 const (
 	engineCount  = 4
