--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -13,11 +13,11 @@
 var allGuardsOn = guard.Set{}
 
 const (
-	engineCount  = 4
-	serviceCount = 2
-	operatorsNum = 2
-	spareShare   = 0.4 // share of seeds with a spare control replica
-	seedStream   = 11
+	engineCount   = 4
+	serviceCount  = 2
+	operatorCount = 2
+	spareShare    = 0.4 // share of seeds with a spare control replica
+	seedStream    = 11
 )
 
 // zones are the zones of the simulated site, each with a control replica, a router and back ends.
@@ -117,7 +117,7 @@
 	w.makeFleet()
 	w.platform = &platform{process: newProcess(w, "platform", platformZone)}
 	w.callers = &callers{process: newProcess(w, "callers", callerZone)}
-	for i := range operatorsNum {
+	for i := range operatorCount {
 		w.operators = append(w.operators, &operator{process: newProcess(w, fmt.Sprintf("operator-%d", i+1), callerZone)})
 	}
 }
