--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -13,11 +13,11 @@
 var allGuardsOn = guard.Set{}
 
 const (
-	engineCount   = 4
-	serviceCount  = 2
-	operatorCount = 2
-	spareShare    = 0.4 // share of seeds with a spare control replica
-	seedStream    = 11
+	engineCount       = 4
+	serviceCount      = 2
+	operatorCount     = 2
+	spareReplicaRatio = 0.4 // share of seeds with a spare control replica
+	seedStream        = 11
 )
 
 // zones are the zones of the simulated site, each with a control replica, a router and back ends.
@@ -99,7 +99,7 @@
 // makeNodes lays the processes out over the zones.
 func (w *world) makeNodes() {
 	controls := groupSize
-	if w.chance(spareShare) {
+	if w.chance(spareReplicaRatio) {
 		controls++
 	}
 	for i := range controls {
