--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -57,16 +57,16 @@
 }
 
 func newWorld(seed uint64, guards guard.Set, trace io.Writer) *world {
-	return newWorldOf(fleetGateways, seed, guards, trace)
+	return newWorldWithGateways(fleetGateways, seed, guards, trace)
 }
 
 // RunLarge runs one seed with so many gateways, which control's replicas answer for the leader.
 func RunLarge(gateways int, seed uint64, guards guard.Set) Result {
-	return newWorldOf(gateways, seed, guards, nil).finish()
+	return newWorldWithGateways(gateways, seed, guards, nil).finish()
 }
 
-// newWorldOf makes a world with so many gateways. In every other one, and with more than usual, replicas answer them for the leader.
-func newWorldOf(gateways int, seed uint64, guards guard.Set, trace io.Writer) *world {
+// newWorldWithGateways makes a world with so many gateways. In every other one, and with more than usual, replicas answer them for the leader.
+func newWorldWithGateways(gateways int, seed uint64, guards guard.Set, trace io.Writer) *world {
 	w := &world{seed: seed, random: rand.New(rand.NewPCG(seed, seedStream)), guards: guards, trace: trace, gatewayCount: gateways}
 	w.relaysWatches = seed%2 == 0 || gateways > fleetGateways
 	w.reportsStartTime = seed/2%2 == 0
