--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -73,7 +73,7 @@
 	w.network.partitioned = map[[2]string]int{}
 	w.oracle = newOracle(w)
 	w.hasher = prefix.NewHasher([prefix.KeyBytes]byte{1}, tokensPerBlock, guards)
-	w.makeNodes()
+	w.createNodes()
 	w.platform.boot()
 	for _, e := range w.engines {
 		e.boot()
@@ -96,8 +96,8 @@
 	return w
 }
 
-// makeNodes lays the processes out over the zones.
-func (w *world) makeNodes() {
+// createNodes lays the processes out over the zones.
+func (w *world) createNodes() {
 	controls := groupSize
 	if w.chance(spareReplicaRatio) {
 		controls++
