--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -48,7 +48,7 @@
 	for w.step(RunLength) {
 	}
 	w.clock.Set(RunLength)
-	w.oracle.checkRest()
+	w.oracle.checkSettled()
 	w.oracle.checkFleetSettled()
 	return Result{
 		Seed: w.seed, Violation: w.oracle.violation, Faults: w.faults, Requests: w.oracle.requests,
--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -6,8 +6,8 @@
 	"kitetiller/internal/settings"
 )
 
-// checkRest checks, after all faults have healed, that everything came to rest where it must.
-func (o *oracle) checkRest() {
+// checkSettled checks, after all faults have healed, that everything came to rest where it must.
+func (o *oracle) checkSettled() {
 	if o.violation != nil {
 		return
 	}
