--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -20,7 +20,7 @@
 	o.checkHistory(leader)
 	o.checkRouters(leader)
 	o.checkEngines(leader)
-	o.checkAnswered()
+	o.checkResponses()
 }
 
 // checkMembers checks that every replica belongs to the group again: one that was replaced while it was away must come back
@@ -83,8 +83,8 @@
 	}
 }
 
-// checkAnswered checks that no caller still waits.
-func (o *oracle) checkAnswered() {
+// checkResponses checks that no caller still waits.
+func (o *oracle) checkResponses() {
 	for _, run := range o.w.callers.exchanges {
 		if !run.finished {
 			o.fail(CorrectResponse, "%s, sent to %s, was never answered", run.job.name, run.router.name)
