--- a/internal/lab/sim/process_test.go
+++ b/internal/lab/sim/process_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestTimerStandsStillForTheSuspensionAlone: what is left of a timer when its machine is suspended passes after it. One that was due meanwhile
+// TestTimerPausesOnlyDuringSuspension: what is left of a timer when its machine is suspended passes after it. One that was due meanwhile
 // waited for the whole suspension again, so that a router that was suspended for 8 s asked for its lease 8 s after it woke.
-func TestTimerStandsStillForTheSuspensionAlone(t *testing.T) {
+func TestTimerPausesOnlyDuringSuspension(t *testing.T) {
 	for _, due := range []time.Duration{time.Second, 20 * time.Second} {
 		w := &world{random: rand.New(rand.NewPCG(1, 1))}
 		p := newProcess(w, "p", "z")
