--- a/internal/lab/sim/process_test.go
+++ b/internal/lab/sim/process_test.go
@@ -13,13 +13,13 @@
 		w := &world{random: rand.New(rand.NewPCG(1, 1))}
 		p := newProcess(w, "p", "z")
 		p.start()
-		var rang time.Duration
-		p.after(due, func() { rang = w.now() })
+		var firedAt time.Duration
+		p.after(due, func() { firedAt = w.now() })
 		w.after(500*time.Millisecond, func() { p.suspend(8 * time.Second) })
 		for w.clock.Step(time.Minute) {
 		}
-		if wanted := due + 8*time.Second; rang != wanted {
-			t.Errorf("a timer of %v rang at %v, wanted %v", due, rang, wanted)
+		if wanted := due + 8*time.Second; firedAt != wanted {
+			t.Errorf("a timer of %v rang at %v, wanted %v", due, firedAt, wanted)
 		}
 	}
 }
