--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestEveryGuardIsNeeded: with any one protection off, some seed must break an invariant. A check that cannot fail
+// TestWithoutAnyGuardAnInvariantBreaks: with any one protection off, some seed must break an invariant. A check that cannot fail
 // proves nothing.
-func TestEveryGuardIsNeeded(t *testing.T) {
+func TestWithoutAnyGuardAnInvariantBreaks(t *testing.T) {
 	for _, off := range guard.All() {
 		t.Run(string(off), func(t *testing.T) {
 			if firstViolation(guard.Without(off), 1, guardSeeds) == nil {
