--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestNineInvariantsAreNamed(t *testing.T) {
+func TestInvariantCount(t *testing.T) {
 	if got := len(Invariants()); got != 9 {
 		t.Fatalf("%d invariants, the brief has nine", got)
 	}
