--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestManyGatewaysThroughReplicas: 300 gateways, which replicas answer for the leader, under the same faults.
-func TestManyGatewaysThroughReplicas(t *testing.T) {
+// TestManyGatewaysServedByFollowers: 300 gateways, which replicas answer for the leader, under the same faults.
+func TestManyGatewaysServedByFollowers(t *testing.T) {
 	result := RunLarge(300, 1, guard.Set{})
 	if result.Violation != nil {
 		t.Fatalf("%s at %v: %s", result.Violation.Invariant, result.Violation.At, result.Violation.Detail)
