--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestManyGatewaysShareALimit: 300 gateways before four back ends that name limits, under the same faults.
-func TestManyGatewaysShareALimit(t *testing.T) {
+// TestManyGatewaysShareAnAdvertisedLimit: 300 gateways before four back ends that name limits, under the same faults.
+func TestManyGatewaysShareAnAdvertisedLimit(t *testing.T) {
 	for _, seed := range []uint64{4, 7} {
 		if result := RunLarge(300, seed, guard.Set{}); result.Violation != nil {
 			t.Errorf("seed %d breaks %s at %v: %s", seed, result.Violation.Invariant, result.Violation.At, result.Violation.Detail)
