--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestSeedsThatBrokeSomethingHold: 57 a request held back after a time in which nothing could be sent, 5667 and 6409 requests in a rest that a
+// TestRegressionSeeds: 57 a request held back after a time in which nothing could be sent, 5667 and 6409 requests in a rest that a
 // back end had asked for.
-func TestSeedsThatBrokeSomethingHold(t *testing.T) {
+func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []uint64{57, 5667, 6409} {
 		if found := firstViolation(guard.Set{}, seed, 1); found != nil {
 			t.Errorf("seed %d breaks %s at %v: %s", found.Seed, found.Violation.Invariant, found.Violation.At, found.Violation.Detail)
