--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -114,7 +114,7 @@
 //	30.753023  router-1 sends to engine-1/2, meant for 2; so at 31.056608 and 31.079562
 //
 // A refusal tells which life speaks, and its words are noted of that one.
-func TestWordsAreOfTheLifeThatSpoke(t *testing.T) {
+func TestPushbackAppliesToTheRespondingIncarnation(t *testing.T) {
 	if found := firstViolation(guard.Set{}, 32146, 1); found != nil {
 		t.Errorf("seed %d breaks %s at %v: %s", found.Seed, found.Violation.Invariant, found.Violation.At, found.Violation.Detail)
 	}
