--- a/internal/lab/sim/linear_test.go
+++ b/internal/lab/sim/linear_test.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// TestCheckersNoticeAWrongHistory: a read of an older version after a newer one was answered must be refused.
-func TestCheckersNoticeAWrongHistory(t *testing.T) {
+// TestCheckersRejectInvalidHistory: a read of an older version after a newer one was answered must be refused.
+func TestCheckersRejectInvalidHistory(t *testing.T) {
 	_, history := RunWithHistory(1)
 	var reads []*Operation
 	for _, operation := range history.Operations {
