--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -233,8 +233,8 @@
 	r.sendToService(r.w.service(action.Backend), run, action)
 }
 
-func (r *routerNode) sendToEngine(e *engineNode, run *exchange, action core.ActionDispatch) {
-	s := &sending{engine: e, request: run, attempt: action.Attempt, router: r, stream: r.w.newStream(e.process, r.process)}
+func (r *routerNode) sendToEngine(e *engineNode, ex *exchange, action core.ActionDispatch) {
+	s := &sending{engine: e, request: ex, attempt: action.Attempt, router: r, stream: r.w.newStream(e.process, r.process)}
 	r.attempts[action.Attempt] = s
 	r.w.oracle.checkSend(pairOf(r.process, e.lifeName()))
 	r.w.oracle.checkLimitedSend(pairOf(r.process, e.lifeName()), e.advertised)
