--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -274,10 +274,10 @@
 	return core.AttemptBroken
 }
 
-func (r *routerNode) sendToService(target *serviceNode, run *exchange, action core.ActionDispatch) {
-	s := &sending{request: run, attempt: action.Attempt, router: r}
+func (r *routerNode) sendToService(target *serviceNode, ex *exchange, action core.ActionDispatch) {
+	s := &sending{request: ex, attempt: action.Attempt, router: r}
 	r.w.call(r.process, target.process, attemptTimeout, func(respond func(func())) {
-		target.serve(run, action.Attempt, func(event core.EventAttempt) {
+		target.serve(ex, action.Attempt, func(event core.EventAttempt) {
 			respond(func() { r.attemptEvent(s, event) })
 		})
 	}, func(refused bool) { r.attemptEvent(s, core.EventAttempt{Kind: failureKind(refused)}) })
