--- a/internal/lab/sim/services.go
+++ b/internal/lab/sim/services.go
@@ -23,23 +23,23 @@
 }
 
 // serve runs a request. Within a fault's time it may read and close without running, or run and lose the answer.
-func (s *serviceNode) serve(run *exchange, attempt core.AttemptID, answer func(core.EventAttempt)) {
+func (s *serviceNode) serve(ex *exchange, attempt core.AttemptID, answer func(core.EventAttempt)) {
 	faulty := s.w.now() < s.w.mischief.servicesUntil
 	if faulty && s.w.chance(0.25) {
-		s.w.logf("%s reads %s and closes", s.name, run.job.name)
+		s.w.logf("%s reads %s and closes", s.name, ex.job.name)
 		answer(core.EventAttempt{Kind: core.AttemptBroken})
 		return
 	}
-	s.w.oracle.serviceRan(s, run)
+	s.w.oracle.serviceRan(s, ex)
 	s.running++
 	s.after(s.w.between(5*time.Millisecond, 40*time.Millisecond), func() {
 		s.running--
 		if faulty && s.w.chance(0.4) {
-			s.w.logf("%s loses the answer to %s", s.name, run.job.name)
+			s.w.logf("%s loses the answer to %s", s.name, ex.job.name)
 			answer(core.EventAttempt{Kind: core.AttemptBroken})
 			return
 		}
-		answer(core.EventAttempt{Kind: core.AttemptDone, Echo: attempt, Answer: &ledger.Response{Status: 200, Body: []byte(run.job.responseBody())}})
+		answer(core.EventAttempt{Kind: core.AttemptDone, Echo: attempt, Answer: &ledger.Response{Status: 200, Body: []byte(ex.job.responseBody())}})
 	})
 }
 
