--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -164,14 +164,14 @@
 	e.lastOrder = call.Fence
 }
 
-func (o *oracle) serviceRan(s *serviceNode, run *exchange) {
-	run.executed = true
-	key := run.job.tenant + "/" + run.job.name
+func (o *oracle) serviceRan(s *serviceNode, ex *exchange) {
+	ex.executed = true
+	key := ex.job.tenant + "/" + ex.job.name
 	o.runsByKey[key]++
 	if o.runsByKey[key] > 1 {
 		o.fail(AtMostOnce, "%s ran %d times, now on %s", key, o.runsByKey[key], s.name)
 	}
-	if o.reportedNotRun[run] {
+	if o.reportedNotRun[ex] {
 		o.fail(NotRunHonored, "%s ran %s, which was refused as not run", s.name, key)
 	}
 }
