--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -177,11 +177,11 @@
 }
 
 // routerFinished checks a final answer at the moment the router gives it.
-func (o *oracle) routerFinished(r *routerNode, run *exchange, final core.ActionFinish) {
+func (o *oracle) routerFinished(r *routerNode, ex *exchange, final core.ActionFinish) {
 	if final.Run == core.RunNot {
-		o.reportedNotRun[run] = true
-		if run.executed || (run.job.toService && o.runsByKey[run.job.tenant+"/"+run.job.name] > 0) {
-			o.fail(NotRunHonored, "%s refused %s as not run (%s), but it ran", r.name, run.job.name, final.Reason)
+		o.reportedNotRun[ex] = true
+		if ex.executed || (ex.job.toService && o.runsByKey[ex.job.tenant+"/"+ex.job.name] > 0) {
+			o.fail(NotRunHonored, "%s refused %s as not run (%s), but it ran", r.name, ex.job.name, final.Reason)
 		}
 	}
 	if final.Reason != core.ReasonNoLease && final.Reason != core.ReasonNoSettings {
@@ -189,11 +189,11 @@
 	}
 	servesLast := r.zone == serveLastZone && r.syncedSettings.Version > 0
 	if servesLast {
-		o.fail(ServesAfterRestart, "%s refused %s as %s although it holds settings %d", r.name, run.job.name, final.Reason, r.syncedSettings.Version)
+		o.fail(ServesAfterRestart, "%s refused %s as %s although it holds settings %d", r.name, ex.job.name, final.Reason, r.syncedSettings.Version)
 	}
 	recovered := o.accepted > 0 && o.w.now() > max(o.controlFaultEnd, r.resumedAt, o.firstAccept)+recoveryTime
 	if recovered && r.syncedSettings.Version > 0 {
-		o.fail(ServesAfterRestart, "%s refused %s as %s while control was well", r.name, run.job.name, final.Reason)
+		o.fail(ServesAfterRestart, "%s refused %s as %s while control was well", r.name, ex.job.name, final.Reason)
 	}
 }
 
