--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -198,13 +198,13 @@
 }
 
 // routerDispatched checks the settings that a new request is decided by.
-func (o *oracle) routerDispatched(r *routerNode, run *exchange, action core.ActionDispatch) {
+func (o *oracle) routerDispatched(r *routerNode, ex *exchange, action core.ActionDispatch) {
 	o.checkDraining(r, action.Backend)
-	if action.ResumeFrom > run.resumeFrom || r.zone == serveLastZone {
+	if action.ResumeFrom > ex.resumeFrom || r.zone == serveLastZone {
 		return
 	}
 	if action.SettingsVersion < o.inForce {
-		o.fail(SettingsDurable, "%s decided on %s by version %d after version %d was in force", r.name, run.job.name, action.SettingsVersion, o.inForce)
+		o.fail(SettingsDurable, "%s decided on %s by version %d after version %d was in force", r.name, ex.job.name, action.SettingsVersion, o.inForce)
 	}
 }
 
