--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -228,14 +228,14 @@
 }
 
 // callerReceived checks a token.
-func (o *oracle) callerReceived(run *exchange, chunk core.ActionChunk) {
-	wanted := run.job.token(run.nextToken)
+func (o *oracle) callerReceived(ex *exchange, chunk core.ActionChunk) {
+	wanted := ex.job.token(ex.nextToken)
 	switch {
-	case chunk.Text == wanted && chunk.Index == run.nextToken:
-	case len(chunk.Text) > len(run.job.name) && chunk.Text[:len(run.job.name)+1] == run.job.name+":":
-		o.fail(StreamComplete, "%s got token %d as %q, wanted %q", run.job.name, chunk.Index, chunk.Text, wanted)
+	case chunk.Text == wanted && chunk.Index == ex.nextToken:
+	case len(chunk.Text) > len(ex.job.name) && chunk.Text[:len(ex.job.name)+1] == ex.job.name+":":
+		o.fail(StreamComplete, "%s got token %d as %q, wanted %q", ex.job.name, chunk.Index, chunk.Text, wanted)
 	default:
-		o.fail(CorrectResponse, "%s got %q of another request, wanted %q", run.job.name, chunk.Text, wanted)
+		o.fail(CorrectResponse, "%s got %q of another request, wanted %q", ex.job.name, chunk.Text, wanted)
 	}
 }
 
