--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -240,19 +240,19 @@
 }
 
 // callerFinished checks a final answer.
-func (o *oracle) callerFinished(run *exchange, final core.ActionFinish) {
+func (o *oracle) callerFinished(ex *exchange, final core.ActionFinish) {
 	if final.Reason != core.ReasonComplete && final.Reason != core.ReasonReplayed {
 		return
 	}
 	o.complete++
-	if run.job.toService {
-		if got := bodyOf(final.Answer); got != run.job.responseBody() {
-			o.fail(CorrectResponse, "%s got the answer %q", run.job.name, got)
+	if ex.job.toService {
+		if got := bodyOf(final.Answer); got != ex.job.responseBody() {
+			o.fail(CorrectResponse, "%s got the answer %q", ex.job.name, got)
 		}
 		return
 	}
-	if run.nextToken != run.job.maxTokens || final.Tokens != run.job.maxTokens {
-		o.fail(StreamComplete, "%s ended as complete after token %d of %d", run.job.name, run.nextToken, run.job.maxTokens)
+	if ex.nextToken != ex.job.maxTokens || final.Tokens != ex.job.maxTokens {
+		o.fail(StreamComplete, "%s ended as complete after token %d of %d", ex.job.name, ex.nextToken, ex.job.maxTokens)
 	}
 }
 
