--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -182,8 +182,8 @@
 	case core.ActionCancel:
 		r.cancel(typed.Attempt)
 	case core.ActionChunk:
-		if run := r.exchanges[typed.ID]; run != nil {
-			run.chunk(typed)
+		if ex := r.exchanges[typed.ID]; ex != nil {
+			ex.chunk(typed)
 		}
 	case core.ActionFinish:
 		r.finish(typed)
