--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -198,13 +198,13 @@
 }
 
 func (r *routerNode) finish(final core.ActionFinish) {
-	run := r.exchanges[final.ID]
-	if run == nil {
+	ex := r.exchanges[final.ID]
+	if ex == nil {
 		return
 	}
 	delete(r.exchanges, final.ID)
-	r.w.oracle.routerFinished(r, run, final)
-	run.final(final)
+	r.w.oracle.routerFinished(r, ex, final)
+	ex.final(final)
 }
 
 func (r *routerNode) claim(action core.ActionClaim) {
