--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -220,17 +220,17 @@
 }
 
 func (r *routerNode) dispatch(action core.ActionDispatch) {
-	run := r.exchanges[action.ID]
-	if run == nil {
+	ex := r.exchanges[action.ID]
+	if ex == nil {
 		return
 	}
-	r.w.oracle.routerDispatched(r, run, action)
+	r.w.oracle.routerDispatched(r, ex, action)
 	r.announce(core.PeerDispatch{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
 	if e := r.w.engine(action.Backend); e != nil {
-		r.sendToEngine(e, run, action)
+		r.sendToEngine(e, ex, action)
 		return
 	}
-	r.sendToService(r.w.service(action.Backend), run, action)
+	r.sendToService(r.w.service(action.Backend), ex, action)
 }
 
 func (r *routerNode) sendToEngine(e *engineNode, ex *exchange, action core.ActionDispatch) {
