--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -115,25 +115,25 @@
 // sendTo sends a job to one router.
 func (c *callers) sendTo(j *job, router *routerNode, resumeFrom int) {
 	j.sends++
-	run := &exchange{job: j, router: router, nextToken: resumeFrom, resumeFrom: resumeFrom}
+	ex := &exchange{job: j, router: router, nextToken: resumeFrom, resumeFrom: resumeFrom}
 	c.w.oracle.requests++
 	if !router.up {
-		c.after(refusalDelay, func() { c.again(run, 100*time.Millisecond) })
+		c.after(refusalDelay, func() { c.again(ex, 100*time.Millisecond) })
 		return
 	}
-	run.toCaller = c.w.newStream(router.process, c.process)
-	router.trackConnection(run)
-	c.exchanges = append(c.exchanges, run)
+	ex.toCaller = c.w.newStream(router.process, c.process)
+	router.trackConnection(ex)
+	c.exchanges = append(c.exchanges, ex)
 	life := router.generation
 	c.w.after(c.w.latency(c.process, router.process), func() {
-		router.run(life, func() { router.arrive(run) })
+		router.run(life, func() { router.arrive(ex) })
 	})
 	if j.toService && c.w.chance(earlyRetryRatio) && j.sends < maxServiceSends {
 		c.after(c.w.between(20*time.Millisecond, time.Second), func() { c.sendAnywhere(j, 0) })
 	}
-	c.after(callerTimeout, func() { c.hangUp(run) })
+	c.after(callerTimeout, func() { c.hangUp(ex) })
 	if !j.toService && c.w.chance(disconnectRatio) {
-		c.after(c.w.between(0, time.Second), func() { c.hangUp(run) })
+		c.after(c.w.between(0, time.Second), func() { c.hangUp(ex) })
 	}
 }
 
