--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -124,14 +124,14 @@
 
 // engineAccepted checks a job at the moment an engine takes it.
 func (o *oracle) engineAccepted(e *engineNode, job *engine.Job, s *sending, result engine.SubmitResult) {
-	run := s.request
-	run.executed = true
-	if o.reportedNotRun[run] {
-		o.fail(NotRunHonored, "%s took %s, which was refused as not run", e.name, run.job.name)
+	ex := s.request
+	ex.executed = true
+	if o.reportedNotRun[ex] {
+		o.fail(NotRunHonored, "%s took %s, which was refused as not run", e.name, ex.job.name)
 	}
 	if job.ExpectedCachedTokens > 0 && result == engine.Accepted && job.Incarnation != e.model.Incarnation {
 		o.fail(CacheIsolation, "%s, incarnation %d, runs %s relying on %d tokens of incarnation %d",
-			e.name, e.model.Incarnation, run.job.name, job.ExpectedCachedTokens, job.Incarnation)
+			e.name, e.model.Incarnation, ex.job.name, job.ExpectedCachedTokens, job.Incarnation)
 	}
 }
 
