--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -85,9 +85,9 @@
 
 // checkResponses checks that no caller still waits.
 func (o *oracle) checkResponses() {
-	for _, run := range o.w.callers.exchanges {
-		if !run.finished {
-			o.fail(CorrectResponse, "%s, sent to %s, was never answered", run.job.name, run.router.name)
+	for _, ex := range o.w.callers.exchanges {
+		if !ex.finished {
+			o.fail(CorrectResponse, "%s, sent to %s, was never answered", ex.job.name, ex.router.name)
 			return
 		}
 	}
