--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -49,7 +49,7 @@
 	if !n.up || n.frozen {
 		return
 	}
-	n.die(false)
+	n.crash(false)
 	w.restartControl(n, replaceDelay)
 }
 
@@ -72,7 +72,7 @@
 	}
 	n.w.logf("%s ends, too old: %v", n.name, err)
 	n.build = newBuild
-	n.die(false)
+	n.crash(false)
 	n.keepsBuild = true
 	n.w.restartControl(n, replaceDelay)
 }
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -110,8 +110,8 @@
 	return disk
 }
 
-// die ends the process. A write that was not synced survives in part, or not at all.
-func (n *controlNode) die(silent bool) {
+// crash ends the process. A write that was not synced survives in part, or not at all.
+func (n *controlNode) crash(silent bool) {
 	if n.syncing != nil {
 		n.tear(*n.syncing)
 	}
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -126,7 +126,7 @@
 
 func (w *world) faultKillControl() {
 	n := pick(w, w.controls)
-	n.die(w.chance(0.5))
+	n.crash(w.chance(0.5))
 	w.restartControl(n, w.between(200*time.Millisecond, 7*time.Second))
 }
 
@@ -182,7 +182,7 @@
 func (w *world) faultPowerLoss() {
 	w.onAccept = append(w.onAccept, func() {
 		for _, n := range w.controls {
-			w.after(w.between(0, 3*time.Millisecond), func() { n.die(true) })
+			w.after(w.between(0, 3*time.Millisecond), func() { n.crash(true) })
 			w.restartControl(n, w.between(500*time.Millisecond, 2*time.Second))
 		}
 	})
@@ -226,7 +226,7 @@
 // loseDisk loses a replica's disk; it comes back with an empty folder.
 func (w *world) loseDisk(n *controlNode) {
 	w.logf("%s loses its disk", n.name)
-	n.die(w.chance(0.5))
+	n.crash(w.chance(0.5))
 	n.newDataDir()
 	w.restartControl(n, w.between(50*time.Millisecond, time.Second))
 	w.recordControlDisturbance(2 * repairAfter)
@@ -289,7 +289,7 @@
 		if !w.allVotersIntact() {
 			return // another disk was lost meanwhile, and two at once are more than a group of three bears
 		}
-		leader.die(true)
+		leader.crash(true)
 		w.loseDisk(lost)
 		w.restartControl(leader, 6*time.Second)
 	})
@@ -348,7 +348,7 @@
 func (w *world) faultBlackout() {
 	length := w.between(3*time.Second, 8*time.Second)
 	for _, n := range w.controls[:groupSize-1] {
-		n.die(true)
+		n.crash(true)
 		w.restartControl(n, length)
 	}
 	for _, r := range w.routers {
--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -52,7 +52,7 @@
 	w.after(length+w.between(0, 50*time.Millisecond), func() {
 		for _, n := range w.controls {
 			if n != behind {
-				n.die(w.chance(0.5))
+				n.crash(w.chance(0.5))
 				w.restartControl(n, w.between(200*time.Millisecond, 2*time.Second))
 			}
 		}
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -144,7 +144,7 @@
 
 // restartReplica ends a replica, which starts again soon, some with their time of day set back.
 func (w *world) restartReplica(n *controlNode) {
-	n.die(w.chance(0.5))
+	n.crash(w.chance(0.5))
 	if w.chance(0.3) {
 		n.wallSkew -= w.between(time.Second, 20*time.Second)
 		w.oracle.updateWallSkews()
