--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -113,14 +113,14 @@
 // crash ends the process. A write that was not synced survives in part, or not at all.
 func (n *controlNode) crash(silent bool) {
 	if n.syncing != nil {
-		n.tear(*n.syncing)
+		n.storePartially(*n.syncing)
 	}
 	n.syncing, n.unsynced = nil, nil
 	n.kill(silent)
 }
 
-// tear keeps a part of an interrupted write: whole records from its start.
-func (n *controlNode) tear(persist control.Persist) {
+// storePartially keeps a part of an interrupted write: whole records from its start.
+func (n *controlNode) storePartially(persist control.Persist) {
 	if persist.Checkpoint != nil || n.w.chance(0.3) {
 		return // a checkpoint replaces the folder only when it is complete
 	}
