--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// input passes something to the replica, after the sync in progress.
-func (n *controlNode) input(do func()) {
+// handleInput passes something to the replica, after the sync in progress.
+func (n *controlNode) handleInput(do func()) {
 	if n.syncing != nil {
 		n.deferredInputs = append(n.deferredInputs, do)
 		return
@@ -178,7 +178,7 @@
 		waiting := n.deferredInputs
 		n.deferredInputs = nil
 		for _, do := range waiting {
-			n.input(do)
+			n.handleInput(do)
 		}
 		if n.syncing == nil {
 			n.pump()
@@ -231,7 +231,7 @@
 // askLeader passes a question for gateways on.
 func (n *controlNode) askLeader(call control.RelayCall) {
 	number := call.Request.Number
-	failed := func(bool) { n.input(func() { n.replica.ObserveRelay(n.clock(), number, nil) }) }
+	failed := func(bool) { n.handleInput(func() { n.replica.ObserveRelay(n.clock(), number, nil) }) }
 	for _, peer := range n.w.controls {
 		if peer.name != call.Address {
 			continue
@@ -239,7 +239,7 @@
 		n.w.call(n.process, peer.process, relayTimeout, func(respond func(func())) {
 			peer.handle(control.Request{Relay: &call.Request}, func(response control.Response) {
 				respond(func() {
-					n.input(func() { n.replica.ObserveRelay(n.clock(), number, response.Relayed) })
+					n.handleInput(func() { n.replica.ObserveRelay(n.clock(), number, response.Relayed) })
 				})
 			})
 		}, failed)
@@ -254,7 +254,7 @@
 		if peer.identity.ID == message.To {
 			n.w.message(n.process, peer.process, func() {
 				if peer.identity.ID == message.To {
-					peer.input(func() { peer.replica.Step(peer.clock(), message) })
+					peer.handleInput(func() { peer.replica.Step(peer.clock(), message) })
 				}
 			})
 		}
@@ -277,7 +277,7 @@
 
 // handle takes a client's request.
 func (n *controlNode) handle(request control.Request, answer func(control.Response)) {
-	n.input(func() {
+	n.handleInput(func() {
 		n.nextID++
 		n.clients[n.nextID] = answer
 		n.replica.Handle(n.clock(), n.nextID, request)
@@ -294,7 +294,7 @@
 	for _, target := range n.w.engines {
 		n.w.call(n.process, target.process, pollTimeout, func(respond func(func())) {
 			report := target.controlReport()
-			respond(func() { n.input(func() { n.replica.ObserveEngineReport(n.clock(), report) }) })
+			respond(func() { n.handleInput(func() { n.replica.ObserveEngineReport(n.clock(), report) }) })
 		}, func(bool) {})
 	}
 }
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -247,7 +247,7 @@
 	}
 	report := func(result control.WeightsResult) {
 		result.Call = call
-		n.input(func() { n.replica.ObserveWeightsResult(n.clock(), result) })
+		n.handleInput(func() { n.replica.ObserveWeightsResult(n.clock(), result) })
 	}
 	if call.Kind == control.WeightsOrder && n.w.chance(0.15) {
 		n.after(time.Second, func() { report(control.WeightsResult{Kind: control.WeightsUnknown}) })
