--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -101,7 +101,7 @@
 	n.w.logf("%s starts as %s at entry %d", n.name, n.identity.ID, replica.Node().LastIndex())
 	n.ticker(enginePollInterval, n.pollEngines)
 	n.ticker(joinInterval, n.joinGroup)
-	n.pump()
+	n.advance()
 }
 
 // cloneCheckpoint copies what a replica may append to.
@@ -141,11 +141,11 @@
 		return
 	}
 	do()
-	n.pump()
+	n.advance()
 }
 
-// pump lets the replica work until it waits for a sync or for time.
-func (n *controlNode) pump() {
+// advance lets the replica work until it waits for a sync or for time.
+func (n *controlNode) advance() {
 	n.replica.Tick(n.clock(), n.unixMS())
 	for n.replica.HasWork() {
 		persist := n.replica.Prepare()
@@ -181,7 +181,7 @@
 			n.handleInput(do)
 		}
 		if n.syncing == nil {
-			n.pump()
+			n.advance()
 		}
 	})
 }
@@ -201,7 +201,7 @@
 	due := n.trueTime(n.startedAt, n.replica.NextDue())
 	n.wakeup.Set(n.w.now(), due, time.Millisecond, n.after, func() {
 		if n.syncing == nil {
-			n.pump()
+			n.advance()
 		}
 	})
 }
