--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -154,7 +154,7 @@
 			return
 		}
 		if !persist.Empty() {
-			n.syncLate(persist)
+			n.storeAfterAck(persist)
 		}
 		n.send(n.replica.Advance(n.clock()))
 	}
@@ -186,8 +186,8 @@
 	})
 }
 
-// syncLate stores after the acknowledgement has left. A write that then doesn't fit the disk any more loses what was acknowledged.
-func (n *controlNode) syncLate(persist control.Persist) {
+// storeAfterAck stores after the acknowledgement has left. A write that then doesn't fit the disk any more loses what was acknowledged.
+func (n *controlNode) storeAfterAck(persist control.Persist) {
 	n.unsynced = append(n.unsynced, persist)
 	n.after(n.w.between(lateSyncMin, lateSyncMax), func() {
 		if err := n.disk.Apply(n.unsynced[0]); err != nil {
