--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -159,7 +159,7 @@
 		n.send(n.replica.Advance(n.clock()))
 	}
 	if n.checkBuild(); n.up {
-		n.setWake()
+		n.scheduleWakeup()
 	}
 }
 
@@ -197,7 +197,7 @@
 	})
 }
 
-func (n *controlNode) setWake() {
+func (n *controlNode) scheduleWakeup() {
 	due := n.trueTime(n.startedAt, n.replica.NextDue())
 	n.wakeup.Set(n.w.now(), due, time.Millisecond, n.after, func() {
 		if n.syncing == nil {
