--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -284,11 +284,11 @@
 	})
 }
 
-func (n *controlNode) leads() bool { return n.replica.Node().Role() == consensus.Leader }
+func (n *controlNode) isLeader() bool { return n.replica.Node().Role() == consensus.Leader }
 
 // pollEngines reads the engines' weights and fences while this replica leads.
 func (n *controlNode) pollEngines() {
-	if !n.leads() {
+	if !n.isLeader() {
 		return
 	}
 	for _, target := range n.w.engines {
@@ -325,7 +325,7 @@
 func (w *world) leader() *controlNode {
 	var best *controlNode
 	for _, n := range w.controls {
-		if n.up && !n.frozen && n.leads() && (best == nil || n.replica.Node().Term() > best.replica.Node().Term()) {
+		if n.up && !n.frozen && n.isLeader() && (best == nil || n.replica.Node().Term() > best.replica.Node().Term()) {
 			best = n
 		}
 	}
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -110,7 +110,7 @@
 	if !known || o.w.now()-order.at > sendWindow || o.w.now() <= order.at {
 		return
 	}
-	leads := order.issuer.up && !order.issuer.frozen && order.issuer.leads() && order.issuer.replica.Node().Term() == order.term
+	leads := order.issuer.up && !order.issuer.frozen && order.issuer.isLeader() && order.issuer.replica.Node().Term() == order.term
 	if leads {
 		o.fail(CacheIsolation, "%s sent to %s %v after it began to load", gateway, instance, o.w.now()-order.at)
 	}
