--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -309,8 +309,8 @@
 	n.joinClient.askOnce(control.Request{Join: &self}, pollTimeout, func(control.Response, bool) {})
 }
 
-// found makes the first replicas: one voter, which the others join, as the processes do.
-func (w *world) found() {
+// createGroup makes the first replicas: one voter, which the others join, as the processes do.
+func (w *world) createGroup() {
 	for _, n := range w.controls {
 		n.newDataDir()
 	}
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -82,7 +82,7 @@
 		s.boot()
 	}
 	w.planBuilds()
-	w.found()
+	w.createGroup()
 	for _, r := range w.routers {
 		r.boot()
 	}
