--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -84,10 +84,10 @@
 		r.carryOut(action)
 	}
 	r.w.oracle.routerTicked(r)
-	r.setWake()
+	r.scheduleWakeup()
 }
 
-func (r *routerNode) setWake() {
+func (r *routerNode) scheduleWakeup() {
 	due, any := r.core.NextWakeup()
 	if any {
 		r.wakeup.Set(r.w.now(), r.trueTime(r.startedAt, due), time.Millisecond, r.after, func() { r.post() })
