--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -67,7 +67,7 @@
 	if saved.Version > 0 {
 		r.post(core.EventSettings{Version: saved.Version, Tree: saved.Tree})
 	}
-	r.beat()
+	r.renewSession()
 	r.readList()
 	r.ticker(machineListInterval, r.readList)
 	for _, e := range r.w.engines {
@@ -94,20 +94,20 @@
 	}
 }
 
-// beat renews the session again and again.
-func (r *routerNode) beat() {
+// renewSession renews the session again and again.
+func (r *routerNode) renewSession() {
 	sent := r.clock()
 	beat := r.session.Heartbeat()
 	r.control.askOnce(control.Request{Heartbeat: &beat}, controlTimeout, func(response control.Response, answered bool) {
 		if !answered || response.Heartbeat == nil {
-			r.after(session.FastHeartbeatInterval, r.beat)
+			r.after(session.FastHeartbeatInterval, r.renewSession)
 			return
 		}
 		reply := *response.Heartbeat
 		if r.w.chance(lateReplyRatio) {
 			r.after(r.w.between(0, 2*time.Second), func() { r.take(sent, reply, func(time.Duration) {}) })
 		}
-		r.take(sent, reply, func(pause time.Duration) { r.after(pause, r.beat) })
+		r.take(sent, reply, func(pause time.Duration) { r.after(pause, r.renewSession) })
 	})
 }
 
