--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -105,14 +105,14 @@
 		}
 		reply := *response.Heartbeat
 		if r.w.chance(lateReplyRatio) {
-			r.after(r.w.between(0, 2*time.Second), func() { r.take(sent, reply, func(time.Duration) {}) })
+			r.after(r.w.between(0, 2*time.Second), func() { r.handleReply(sent, reply, func(time.Duration) {}) })
 		}
-		r.take(sent, reply, func(pause time.Duration) { r.after(pause, r.renewSession) })
+		r.handleReply(sent, reply, func(pause time.Duration) { r.after(pause, r.renewSession) })
 	})
 }
 
-// take syncs new settings before they are used and acknowledged.
-func (r *routerNode) take(sent time.Duration, reply control.HeartbeatReply, done func(time.Duration)) {
+// handleReply syncs new settings before they are used and acknowledged.
+func (r *routerNode) handleReply(sent time.Duration, reply control.HeartbeatReply, done func(time.Duration)) {
 	step := r.session.HandleReply(sent, reply)
 	if step.RejectReason != "" || step.ToSync == nil {
 		if step.RejectReason == "" {
