--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -116,7 +116,7 @@
 	step := r.session.HandleReply(sent, reply)
 	if step.RejectReason != "" || step.ToSync == nil {
 		if step.RejectReason == "" {
-			r.post(r.renewed(step)...)
+			r.post(r.sessionEvents(step)...)
 		}
 		done(step.NextHeartbeatIn)
 		return
@@ -124,13 +124,13 @@
 	r.after(r.w.between(500*time.Microsecond, 4*time.Millisecond), func() {
 		r.syncedSettings = *step.ToSync
 		r.session.MarkSynced(*step.ToSync)
-		r.post(append([]core.Event{core.EventSettings{Version: step.ToSync.Version, Tree: step.ToSync.Tree}}, r.renewed(step)...)...)
+		r.post(append([]core.Event{core.EventSettings{Version: step.ToSync.Version, Tree: step.ToSync.Tree}}, r.sessionEvents(step)...)...)
 		done(step.NextHeartbeatIn)
 	})
 }
 
-// renewed is what a renewed session tells the core beside settings.
-func (r *routerNode) renewed(step session.ReplyActions) []core.Event {
+// sessionEvents is what a sessionEvents session tells the core beside settings.
+func (r *routerNode) sessionEvents(step session.ReplyActions) []core.Event {
 	if step.Peers == nil {
 		return []core.Event{step.Lease}
 	}
