--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -68,8 +68,8 @@
 		r.post(core.EventSettings{Version: saved.Version, Tree: saved.Tree})
 	}
 	r.renewSession()
-	r.readList()
-	r.ticker(machineListInterval, r.readList)
+	r.readMachineList()
+	r.ticker(machineListInterval, r.readMachineList)
 	for _, e := range r.w.engines {
 		r.pollEngine(e, &membership.Cursor{})
 	}
@@ -141,7 +141,7 @@
 	return []core.Event{step.Lease, peers}
 }
 
-func (r *routerNode) readList() {
+func (r *routerNode) readMachineList() {
 	asked := r.clock()
 	r.w.call(r.process, r.w.platform.process, time.Second, func(respond func(func())) {
 		machines := r.w.platform.currentMachines()
