--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -81,7 +81,7 @@
 // post passes events to the core and carries out what it decides.
 func (r *routerNode) post(events ...core.Event) {
 	for _, action := range r.core.Tick(r.clock(), events) {
-		r.carryOut(action)
+		r.perform(action)
 	}
 	r.w.oracle.routerTicked(r)
 	r.scheduleWakeup()
@@ -174,8 +174,8 @@
 	}, func(bool) { r.post(core.EventBackendPoll{Name: s.name, RequestedAt: asked}) })
 }
 
-// carryOut performs one action of the core.
-func (r *routerNode) carryOut(action core.Action) {
+// perform performs one action of the core.
+func (r *routerNode) perform(action core.Action) {
 	switch typed := action.(type) {
 	case core.ActionDispatch:
 		r.dispatch(typed)
