--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -225,7 +225,7 @@
 		return
 	}
 	r.w.oracle.routerDispatched(r, ex, action)
-	r.announce(core.PeerDispatch{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
+	r.announceDispatch(core.PeerDispatch{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
 	if e := r.w.engine(action.Backend); e != nil {
 		r.sendToEngine(e, ex, action)
 		return
@@ -344,8 +344,8 @@
 	check()
 }
 
-// announce tells the other routers of a send.
-func (r *routerNode) announce(dispatch core.PeerDispatch) {
+// announceDispatch tells the other routers of a send.
+func (r *routerNode) announceDispatch(dispatch core.PeerDispatch) {
 	for _, peer := range r.w.routers {
 		if peer != r {
 			r.w.message(r.process, peer.process, func() { peer.post(core.EventPeerDispatches{Sends: []core.PeerDispatch{dispatch}}) })
