--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -48,8 +48,8 @@
 	lastOrder   control.Fence // highest order it ever began to carry out, over all lives
 }
 
-// sending joins a job of the model to the attempt that waits for it.
-type sending struct {
+// activeAttempt joins a job of the model to the attempt that waits for it.
+type activeAttempt struct {
 	engine   *engineNode
 	request  *exchange
 	attempt  core.AttemptID
@@ -58,10 +58,10 @@
 	finished bool
 }
 
-func (s *sending) ended() bool { return s.finished }
+func (s *activeAttempt) ended() bool { return s.finished }
 
 // reset tells the router that the connection broke.
-func (s *sending) reset() {
+func (s *activeAttempt) reset() {
 	if s.finished {
 		return
 	}
@@ -100,7 +100,7 @@
 func (e *engineNode) lifeName() string { return fmt.Sprintf("%s/%d", e.name, e.incarnation) }
 
 // submit takes a job, or returns why not.
-func (e *engineNode) submit(action core.ActionDispatch, s *sending) engine.SubmitResult {
+func (e *engineNode) submit(action core.ActionDispatch, s *activeAttempt) engine.SubmitResult {
 	job := &engine.Job{
 		Attempt: action.Attempt, Origin: fmt.Sprintf("%s#%d", s.router.name, s.router.generation), Tenant: s.request.job.tenant,
 		Blocks: action.Blocks, PromptTokens: s.request.promptTokens(), MaxTokens: action.MaxTokens, ResumeFrom: action.ResumeFrom,
@@ -119,7 +119,7 @@
 
 // output checks a job's step against the oracle's records and sends it.
 func (e *engineNode) output(output engine.Output) {
-	s := output.Job.UserData.(*sending)
+	s := output.Job.UserData.(*activeAttempt)
 	if len(output.Computed) > 0 {
 		e.noteComputed(s, output)
 	}
@@ -139,7 +139,7 @@
 }
 
 // noteComputed records what the blocks hold: the prompt's text under the tenant and the weights that computed it.
-func (e *engineNode) noteComputed(s *sending, output engine.Output) {
+func (e *engineNode) noteComputed(s *activeAttempt, output engine.Output) {
 	first := len(output.Job.Blocks) - len(output.Computed)
 	for i, hash := range output.Computed {
 		e.cached[hash] = s.request.job.content(output.Weights, first+i)
@@ -147,7 +147,7 @@
 }
 
 // transmit sends an event to the router; faulty adapters repeat, drop, cross and cut short what they send.
-func (e *engineNode) transmit(s *sending, event core.EventAttempt) {
+func (e *engineNode) transmit(s *activeAttempt, event core.EventAttempt) {
 	send := func(event core.EventAttempt) {
 		s.stream.send(func() {
 			if !s.finished {
@@ -163,7 +163,7 @@
 	send(event)
 }
 
-func (e *engineNode) misbehave(s *sending, event core.EventAttempt, send func(core.EventAttempt)) {
+func (e *engineNode) misbehave(s *activeAttempt, event core.EventAttempt, send func(core.EventAttempt)) {
 	switch e.w.random.IntN(4) {
 	case 0:
 		send(event)
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -123,7 +123,7 @@
 }
 
 // engineAccepted checks a job at the moment an engine takes it.
-func (o *oracle) engineAccepted(e *engineNode, job *engine.Job, s *sending, result engine.SubmitResult) {
+func (o *oracle) engineAccepted(e *engineNode, job *engine.Job, s *activeAttempt, result engine.SubmitResult) {
 	ex := s.request
 	ex.executed = true
 	if o.reportedNotRun[ex] {
@@ -144,7 +144,7 @@
 }
 
 // engineReused checks every block that a job reuses against what the block really holds.
-func (o *oracle) engineReused(e *engineNode, s *sending, output engine.Output) {
+func (o *oracle) engineReused(e *engineNode, s *activeAttempt, output engine.Output) {
 	for block := range output.Cached / tokensPerBlock {
 		wanted := s.request.job.content(output.Weights, block)
 		if held, found := e.cached[output.Job.Blocks[block]]; !found || held != wanted {
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -37,7 +37,7 @@
 	startedAt      time.Duration
 	wakeup         vtime.Alarm
 	exchanges      map[core.RequestID]*exchange
-	attempts       map[core.AttemptID]*sending
+	attempts       map[core.AttemptID]*activeAttempt
 	nextID         core.RequestID
 	stopping       bool // a planned stop is in progress and no fault has disturbed it
 }
@@ -51,7 +51,7 @@
 	r.startedAt, r.wakeup = r.w.now(), vtime.Alarm{}
 	r.stopping = false
 	r.exchanges = map[core.RequestID]*exchange{}
-	r.attempts = map[core.AttemptID]*sending{}
+	r.attempts = map[core.AttemptID]*activeAttempt{}
 	r.nextID = 0
 	r.control = newControlClient(r.w, r.process)
 	r.core = core.New(core.Config{
@@ -234,7 +234,7 @@
 }
 
 func (r *routerNode) sendToEngine(e *engineNode, ex *exchange, action core.ActionDispatch) {
-	s := &sending{engine: e, request: ex, attempt: action.Attempt, router: r, stream: r.w.newStream(e.process, r.process)}
+	s := &activeAttempt{engine: e, request: ex, attempt: action.Attempt, router: r, stream: r.w.newStream(e.process, r.process)}
 	r.attempts[action.Attempt] = s
 	r.w.oracle.checkSend(pairOf(r.process, e.lifeName()))
 	r.w.oracle.checkLimitedSend(pairOf(r.process, e.lifeName()), e.advertised)
@@ -275,7 +275,7 @@
 }
 
 func (r *routerNode) sendToService(target *serviceNode, ex *exchange, action core.ActionDispatch) {
-	s := &sending{request: ex, attempt: action.Attempt, router: r}
+	s := &activeAttempt{request: ex, attempt: action.Attempt, router: r}
 	r.w.call(r.process, target.process, attemptTimeout, func(respond func(func())) {
 		target.serve(ex, action.Attempt, func(event core.EventAttempt) {
 			respond(func() { r.attemptEvent(s, event) })
@@ -285,12 +285,12 @@
 
 // attemptEvent passes what a back end answered to the core.
 // handleRejection takes up an engine's refusal, with what it says of itself.
-func (r *routerNode) handleRejection(s *sending, action core.ActionDispatch, life uint64, said pushback.Signals) {
+func (r *routerNode) handleRejection(s *activeAttempt, action core.ActionDispatch, life uint64, said pushback.Signals) {
 	r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: said})
 	r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 }
 
-func (r *routerNode) attemptEvent(s *sending, event core.EventAttempt) {
+func (r *routerNode) attemptEvent(s *activeAttempt, event core.EventAttempt) {
 	event.ID, event.Attempt = s.request.id, s.attempt
 	r.post(event)
 }
