--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// lifeName names the engine's present life.
-func (e *engineNode) lifeName() string { return fmt.Sprintf("%s/%d", e.name, e.incarnation) }
+// incarnationName names the engine's present life.
+func (e *engineNode) incarnationName() string { return fmt.Sprintf("%s/%d", e.name, e.incarnation) }
 
 // submit takes a job, or returns why not.
 func (e *engineNode) submit(action core.ActionDispatch, s *activeAttempt) engine.SubmitResult {
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -236,12 +236,12 @@
 func (r *routerNode) sendToEngine(e *engineNode, ex *exchange, action core.ActionDispatch) {
 	s := &activeAttempt{engine: e, request: ex, attempt: action.Attempt, router: r, stream: r.w.newStream(e.process, r.process)}
 	r.attempts[action.Attempt] = s
-	r.w.oracle.checkSend(pairOf(r.process, e.lifeName()))
-	r.w.oracle.checkLimitedSend(pairOf(r.process, e.lifeName()), e.advertised)
+	r.w.oracle.checkSend(pairOf(r.process, e.incarnationName()))
+	r.w.oracle.checkLimitedSend(pairOf(r.process, e.incarnationName()), e.advertised)
 	r.w.call(r.process, e.process, attemptTimeout, func(respond func(func())) {
 		life := e.incarnation // that speaks, whichever was meant
 		if rest := e.shed.requestedBackoff(e.w.now()); rest > 0 {
-			asker := pairOf(r.process, e.lifeName())
+			asker := pairOf(r.process, e.incarnationName())
 			respond(func() {
 				said := pushback.Signals{Backoff: rest}
 				r.w.oracle.recordSignals(asker, said)
@@ -250,7 +250,7 @@
 			return
 		}
 		result := e.submit(action, s)
-		advertised, limit, asker := e.advertised, e.advertised.limit(e.w.now()), pairOf(r.process, e.lifeName())
+		advertised, limit, asker := e.advertised, e.advertised.limit(e.w.now()), pairOf(r.process, e.incarnationName())
 		respond(func() {
 			if limit.Advertised {
 				r.w.oracle.recordLimit(asker, advertised)
