--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -88,7 +88,7 @@
 // advance runs the model up to now and sends what it produced.
 func (e *engineNode) advance() {
 	for _, output := range e.model.Advance(e.w.now()) {
-		e.output(output)
+		e.handleOutput(output)
 	}
 	due, any := e.model.NextWakeup()
 	if any {
@@ -117,8 +117,8 @@
 	return result
 }
 
-// output checks a job's step against the oracle's records and sends it.
-func (e *engineNode) output(output engine.Output) {
+// handleOutput checks a job's step against the oracle's records and sends it.
+func (e *engineNode) handleOutput(output engine.Output) {
 	s := output.Job.UserData.(*activeAttempt)
 	if len(output.Computed) > 0 {
 		e.noteComputed(s, output)
