--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -121,7 +121,7 @@
 func (e *engineNode) handleOutput(output engine.Output) {
 	s := output.Job.UserData.(*activeAttempt)
 	if len(output.Computed) > 0 {
-		e.noteComputed(s, output)
+		e.recordComputed(s, output)
 	}
 	if output.Kind == engine.OutputStarted {
 		e.w.oracle.engineReused(e, s, output)
@@ -138,8 +138,8 @@
 	e.transmit(s, event)
 }
 
-// noteComputed records what the blocks hold: the prompt's text under the tenant and the weights that computed it.
-func (e *engineNode) noteComputed(s *activeAttempt, output engine.Output) {
+// recordComputed records what the blocks hold: the prompt's text under the tenant and the weights that computed it.
+func (e *engineNode) recordComputed(s *activeAttempt, output engine.Output) {
 	first := len(output.Job.Blocks) - len(output.Computed)
 	for i, hash := range output.Computed {
 		e.cached[hash] = s.request.job.content(output.Weights, first+i)
