--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -157,13 +157,13 @@
 		})
 	}
 	if e.w.now() < e.w.mischief.streamsUntil && event.Kind != core.AttemptStarted && e.w.chance(streamFaultRatio) {
-		e.misbehave(s, event, send)
+		e.injectStreamFault(s, event, send)
 		return
 	}
 	send(event)
 }
 
-func (e *engineNode) misbehave(s *activeAttempt, event core.EventAttempt, send func(core.EventAttempt)) {
+func (e *engineNode) injectStreamFault(s *activeAttempt, event core.EventAttempt, send func(core.EventAttempt)) {
 	switch e.w.random.IntN(4) {
 	case 0:
 		send(event)
