--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -272,7 +272,7 @@
 		delay = max(delay, n.w.mischief.delayOrder(n))
 	}
 	from := n.process
-	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.order(call) }) })
+	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.handleCall(call) }) })
 }
 
 // handle takes a client's request.
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -195,8 +195,8 @@
 	return held
 }
 
-// order carries out a fenced call.
-func (e *engineNode) order(call control.EngineCall) {
+// handleCall carries out a fenced call.
+func (e *engineNode) handleCall(call control.EngineCall) {
 	e.advance()
 	before := e.model.Loading()
 	loading := 1
