--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -71,15 +71,15 @@
 
 func (c *callers) boot() {
 	c.start()
-	c.after(2*time.Second, c.arrive)
+	c.after(2*time.Second, c.sendJobs)
 }
 
-func (c *callers) arrive() {
+func (c *callers) sendJobs() {
 	if c.w.now() > activeTime {
 		return
 	}
 	c.sendAnywhere(c.newJob(), 0)
-	c.after(time.Duration(c.w.random.ExpFloat64()*float64(meanRequestInterval)), c.arrive)
+	c.after(time.Duration(c.w.random.ExpFloat64()*float64(meanRequestInterval)), c.sendJobs)
 }
 
 func (c *callers) newJob() *job {
