--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -126,7 +126,7 @@
 	c.exchanges = append(c.exchanges, ex)
 	life := router.generation
 	c.w.after(c.w.latency(c.process, router.process), func() {
-		router.run(life, func() { router.arrive(ex) })
+		router.run(life, func() { router.acceptRequest(ex) })
 	})
 	if j.toService && c.w.chance(earlyRetryRatio) && j.sends < maxServiceSends {
 		c.after(c.w.between(20*time.Millisecond, time.Second), func() { c.sendAnywhere(j, 0) })
@@ -137,8 +137,8 @@
 	}
 }
 
-// arrive gives a new request to the core.
-func (r *routerNode) arrive(run *exchange) {
+// acceptRequest gives a new request to the core.
+func (r *routerNode) acceptRequest(run *exchange) {
 	r.nextID++
 	run.id = r.nextID
 	r.exchanges[run.id] = run
