--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -131,9 +131,9 @@
 	if j.toService && c.w.chance(earlyRetryRatio) && j.sends < maxServiceSends {
 		c.after(c.w.between(20*time.Millisecond, time.Second), func() { c.sendAnywhere(j, 0) })
 	}
-	c.after(callerTimeout, func() { c.hangUp(ex) })
+	c.after(callerTimeout, func() { c.disconnect(ex) })
 	if !j.toService && c.w.chance(disconnectRatio) {
-		c.after(c.w.between(0, time.Second), func() { c.hangUp(ex) })
+		c.after(c.w.between(0, time.Second), func() { c.disconnect(ex) })
 	}
 }
 
@@ -157,8 +157,8 @@
 	r.post(core.EventRequest{Request: request})
 }
 
-// hangUp ends an exchange that the caller no longer waits for.
-func (c *callers) hangUp(run *exchange) {
+// disconnect ends an exchange that the caller no longer waits for.
+func (c *callers) disconnect(run *exchange) {
 	if run.finished {
 		return
 	}
