--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -118,7 +118,7 @@
 	ex := &exchange{job: j, router: router, nextToken: resumeFrom, resumeFrom: resumeFrom}
 	c.w.oracle.requests++
 	if !router.up {
-		c.after(refusalDelay, func() { c.again(ex, 100*time.Millisecond) })
+		c.after(refusalDelay, func() { c.retry(ex, 100*time.Millisecond) })
 		return
 	}
 	ex.toCaller = c.w.newStream(router.process, c.process)
@@ -171,12 +171,12 @@
 		}
 	})
 	if run.job.toService {
-		c.again(run, 100*time.Millisecond)
+		c.retry(run, 100*time.Millisecond)
 	}
 }
 
-// again sends a job once more, unless it has been sent often enough.
-func (c *callers) again(run *exchange, after time.Duration) {
+// retry sends a job once more, unless it has been sent often enough.
+func (c *callers) retry(run *exchange, after time.Duration) {
 	j := run.job
 	limit := maxModelSends
 	if j.toService {
@@ -221,7 +221,7 @@
 			return
 		}
 		w.logf("%s at %s refused as %s, run=%s", e.job.name, e.router.name, action.Reason, action.Run)
-		w.callers.again(e, max(action.RetryAfter, 50*time.Millisecond))
+		w.callers.retry(e, max(action.RetryAfter, 50*time.Millisecond))
 	})
 }
 
@@ -235,7 +235,7 @@
 		}
 		e.finished = true
 		e.job.w.logf("%s at %s: connection broken", e.job.name, e.router.name)
-		e.job.w.callers.again(e, 50*time.Millisecond)
+		e.job.w.callers.retry(e, 50*time.Millisecond)
 	})
 }
 
