--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -196,8 +196,8 @@
 	})
 }
 
-// chunk sends a token to the caller, who checks it.
-func (e *exchange) chunk(action core.ActionChunk) {
+// deliverChunk sends a token to the caller, who checks it.
+func (e *exchange) deliverChunk(action core.ActionChunk) {
 	e.toCaller.send(func() {
 		if e.finished {
 			return
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -183,7 +183,7 @@
 		r.cancel(typed.Attempt)
 	case core.ActionChunk:
 		if ex := r.exchanges[typed.ID]; ex != nil {
-			ex.chunk(typed)
+			ex.deliverChunk(typed)
 		}
 	case core.ActionFinish:
 		r.finish(typed)
