--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -207,8 +207,8 @@
 	})
 }
 
-// final sends the final answer to the caller, who checks it and may send again.
-func (e *exchange) final(action core.ActionFinish) {
+// deliverFinal sends the deliverFinal answer to the caller, who checks it and may send again.
+func (e *exchange) deliverFinal(action core.ActionFinish) {
 	e.toCaller.send(func() {
 		if e.finished {
 			return
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -204,7 +204,7 @@
 	}
 	delete(r.exchanges, final.ID)
 	r.w.oracle.routerFinished(r, ex, final)
-	ex.final(final)
+	ex.deliverFinal(final)
 }
 
 func (r *routerNode) claim(action core.ActionClaim) {
