--- a/internal/lab/sim/asker.go
+++ b/internal/lab/sim/asker.go
@@ -36,7 +36,7 @@
 // askOnce asks one replica askOnce.
 func (a *controlClient) askOnce(request control.Request, timeout time.Duration, done func(control.Response, bool)) {
 	target := a.pickReplica()
-	answered := a.w.note(a.from.name, request)
+	answered := a.w.recordCall(a.from.name, request)
 	a.w.call(a.from, target.process, timeout, func(respond func(func())) {
 		target.handle(request, func(response control.Response) {
 			respond(func() {
--- a/internal/lab/sim/history.go
+++ b/internal/lab/sim/history.go
@@ -57,8 +57,8 @@
 	return operation
 }
 
-// note records a call and returns what notes its answer. Without a history it does nothing.
-func (w *world) note(client string, request control.Request) func(control.Response) {
+// recordCall records a call and returns what notes its answer. Without a history it does nothing.
+func (w *world) recordCall(client string, request control.Request) func(control.Response) {
 	if w.history == nil {
 		return func(control.Response) {}
 	}
