--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -47,20 +47,20 @@
 	o.control = newControlClient(o.w, o.process)
 	o.ticker(readInterval, o.read)
 	if first {
-		o.after(time.Second, o.plant)
+		o.after(time.Second, o.submitInitialTree)
 		return
 	}
 	o.after(4*time.Second, o.edit)
 }
 
-// plant makes the first tree as soon as the group takes it, then goes on editing.
-func (o *operator) plant() {
+// submitInitialTree makes the first tree as soon as the group takes it, then goes on editing.
+func (o *operator) submitInitialTree() {
 	if o.w.oracle.acknowledged > 0 {
 		o.edit()
 		return
 	}
 	o.submit(0, settings.DiffEdits(settings.NewTree(), initialTree()))
-	o.after(3*time.Second, o.plant)
+	o.after(3*time.Second, o.submitInitialTree)
 }
 
 // read looks at the current version; it must never be older than what anybody was told before.
