--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -50,13 +50,13 @@
 		o.after(time.Second, o.submitInitialTree)
 		return
 	}
-	o.after(4*time.Second, o.edit)
+	o.after(4*time.Second, o.editTree)
 }
 
 // submitInitialTree makes the first tree as soon as the group takes it, then goes on editing.
 func (o *operator) submitInitialTree() {
 	if o.w.oracle.acknowledged > 0 {
-		o.edit()
+		o.editTree()
 		return
 	}
 	o.submit(0, settings.DiffEdits(settings.NewTree(), initialTree()))
@@ -73,12 +73,12 @@
 	})
 }
 
-// edit reads the tree, thinks, and changes something.
-func (o *operator) edit() {
+// editTree reads the tree, thinks, and changes something.
+func (o *operator) editTree() {
 	if o.w.now() > activeTime {
 		return
 	}
-	o.after(o.w.between(changeInterval/2, 2*changeInterval), o.edit)
+	o.after(o.w.between(changeInterval/2, 2*changeInterval), o.editTree)
 	o.control.askOnce(control.Request{Read: &control.Read{}}, controlTimeout, func(response control.Response, answered bool) {
 		if !answered || response.Read == nil || response.Read.Version == 0 {
 			return
