--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -364,7 +364,7 @@
 			base := w.oracle.acknowledged
 			for _, o := range w.operators {
 				if base > 0 {
-					o.submit(base, o.drawEdits())
+					o.submit(base, o.randomEdits())
 				}
 			}
 		})
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -84,7 +84,7 @@
 			return
 		}
 		base := response.Read.Version
-		o.after(o.w.between(0, 700*time.Millisecond), func() { o.submit(base, o.drawEdits()) })
+		o.after(o.w.between(0, 700*time.Millisecond), func() { o.submit(base, o.randomEdits()) })
 	})
 }
 
@@ -96,7 +96,7 @@
 	return data
 }
 
-func (o *operator) drawEdits() []settings.Edit {
+func (o *operator) randomEdits() []settings.Edit {
 	edits := []settings.Edit{{Path: "/", Setting: "share_weight", Value: raw(1 + o.w.random.IntN(50))}}
 	if o.w.chance(0.3) {
 		weights := fmt.Sprintf("w%d", 1+o.w.random.IntN(3))
