--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -88,7 +88,7 @@
 	})
 }
 
-func raw(value any) json.RawMessage {
+func marshal(value any) json.RawMessage {
 	data, err := json.Marshal(value)
 	if err != nil {
 		panic("sim: value cannot be written: " + err.Error())
@@ -97,13 +97,13 @@
 }
 
 func (o *operator) randomEdits() []settings.Edit {
-	edits := []settings.Edit{{Path: "/", Setting: "share_weight", Value: raw(1 + o.w.random.IntN(50))}}
+	edits := []settings.Edit{{Path: "/", Setting: "share_weight", Value: marshal(1 + o.w.random.IntN(50))}}
 	if o.w.chance(0.3) {
 		weights := fmt.Sprintf("w%d", 1+o.w.random.IntN(3))
-		edits = append(edits, settings.Edit{Path: "/*/" + modelService, Setting: "weights_version", Value: raw(weights)})
+		edits = append(edits, settings.Edit{Path: "/*/" + modelService, Setting: "weights_version", Value: marshal(weights)})
 	}
 	if o.w.chance(0.2) {
-		edits = append(edits, settings.Edit{Path: "/*/" + modelService, Setting: "hedge_after_ms", Value: raw(o.w.random.IntN(2) * 600)})
+		edits = append(edits, settings.Edit{Path: "/*/" + modelService, Setting: "hedge_after_ms", Value: marshal(o.w.random.IntN(2) * 600)})
 	}
 	return edits
 }
@@ -141,5 +141,5 @@
 		return
 	}
 	weights := fmt.Sprintf("w%d", 1+o.changes%2)
-	o.submit(base, []settings.Edit{{Path: "/*/" + modelService, Setting: "weights_version", Value: raw(weights)}})
+	o.submit(base, []settings.Edit{{Path: "/*/" + modelService, Setting: "weights_version", Value: marshal(weights)}})
 }
