--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -138,20 +138,20 @@
 }
 
 // acceptRequest gives a new request to the core.
-func (r *routerNode) acceptRequest(run *exchange) {
+func (r *routerNode) acceptRequest(ex *exchange) {
 	r.nextID++
-	run.id = r.nextID
-	r.exchanges[run.id] = run
+	ex.id = r.nextID
+	r.exchanges[ex.id] = ex
 	request := core.Request{
-		ID: run.id, Name: run.job.name, Tenant: run.job.tenant, Service: modelService, PromptTokens: run.promptTokens(),
-		MaxTokens: run.job.maxTokens, ResumeFrom: run.resumeFrom,
+		ID: ex.id, Name: ex.job.name, Tenant: ex.job.tenant, Service: modelService, PromptTokens: ex.promptTokens(),
+		MaxTokens: ex.job.maxTokens, ResumeFrom: ex.resumeFrom,
 	}
-	if run.job.toService {
-		request.Service, request.Key, request.Digest, request.PromptTokens = smallService, run.job.name, requestDigest, 1
+	if ex.job.toService {
+		request.Service, request.Key, request.Digest, request.PromptTokens = smallService, ex.job.name, requestDigest, 1
 	} else {
-		text := []byte(strings.Join(run.job.segments, ""))
+		text := []byte(strings.Join(ex.job.segments, ""))
 		for _, weights := range r.core.WeightsInUse(modelService) {
-			request.Chains = append(request.Chains, core.Chain{Weights: weights, Blocks: r.w.hasher.Chain(run.job.tenant, weights, text)})
+			request.Chains = append(request.Chains, core.Chain{Weights: weights, Blocks: r.w.hasher.Chain(ex.job.tenant, weights, text)})
 		}
 	}
 	r.post(core.EventRequest{Request: request})
