--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -158,20 +158,20 @@
 }
 
 // disconnect ends an exchange that the caller no longer waits for.
-func (c *callers) disconnect(run *exchange) {
-	if run.finished {
+func (c *callers) disconnect(ex *exchange) {
+	if ex.finished {
 		return
 	}
-	run.finished = true
-	run.toCaller.closed = true
-	run.router.run(run.toCaller.fromLife, func() {
-		if run.router.exchanges[run.id] == run {
-			delete(run.router.exchanges, run.id)
-			run.router.post(core.EventCallerGone{ID: run.id})
+	ex.finished = true
+	ex.toCaller.closed = true
+	ex.router.run(ex.toCaller.fromLife, func() {
+		if ex.router.exchanges[ex.id] == ex {
+			delete(ex.router.exchanges, ex.id)
+			ex.router.post(core.EventCallerGone{ID: ex.id})
 		}
 	})
-	if run.job.toService {
-		c.retry(run, 100*time.Millisecond)
+	if ex.job.toService {
+		c.retry(ex, 100*time.Millisecond)
 	}
 }
 
