--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -176,8 +176,8 @@
 }
 
 // retry sends a job once more, unless it has been sent often enough.
-func (c *callers) retry(run *exchange, after time.Duration) {
-	j := run.job
+func (c *callers) retry(ex *exchange, after time.Duration) {
+	j := ex.job
 	limit := maxModelSends
 	if j.toService {
 		limit = maxServiceSends
@@ -187,7 +187,7 @@
 	}
 	resume := 0
 	if !j.toService && c.w.chance(0.5) {
-		resume = run.nextToken
+		resume = ex.nextToken
 	}
 	c.after(after+c.w.between(0, 300*time.Millisecond), func() {
 		if !j.done {
