--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -285,8 +285,8 @@
 
 // attemptEvent passes what a back end answered to the core.
 // handleRejection takes up an engine's refusal, with what it says of itself.
-func (r *routerNode) handleRejection(s *activeAttempt, action core.ActionDispatch, incarnation uint64, said pushback.Signals) {
-	r.post(core.EventPushback{Name: action.Backend, Incarnation: incarnation, Signals: said})
+func (r *routerNode) handleRejection(s *activeAttempt, action core.ActionDispatch, incarnation uint64, signals pushback.Signals) {
+	r.post(core.EventPushback{Name: action.Backend, Incarnation: incarnation, Signals: signals})
 	r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 }
 
