--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -239,13 +239,13 @@
 	r.w.oracle.checkSend(pairOf(r.process, e.incarnationName()))
 	r.w.oracle.checkLimitedSend(pairOf(r.process, e.incarnationName()), e.advertised)
 	r.w.call(r.process, e.process, attemptTimeout, func(respond func(func())) {
-		life := e.incarnation // that speaks, whichever was meant
+		incarnation := e.incarnation // that speaks, whichever was meant
 		if rest := e.shed.requestedBackoff(e.w.now()); rest > 0 {
 			asker := pairOf(r.process, e.incarnationName())
 			respond(func() {
 				said := pushback.Signals{Backoff: rest}
 				r.w.oracle.recordSignals(asker, said)
-				r.handleRejection(s, action, life, said)
+				r.handleRejection(s, action, incarnation, said)
 			})
 			return
 		}
@@ -254,14 +254,14 @@
 		respond(func() {
 			if limit.Advertised {
 				r.w.oracle.recordLimit(asker, advertised)
-				r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: pushback.Signals{Limit: limit}})
+				r.post(core.EventPushback{Name: action.Backend, Incarnation: incarnation, Signals: pushback.Signals{Limit: limit}})
 			}
 			switch result {
 			case engine.Accepted:
 			case engine.AcceptedWithoutReuse:
 				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 			default:
-				r.handleRejection(s, action, life, pushback.Signals{Draining: result == engine.RejectedDraining, Backoff: 100 * time.Millisecond})
+				r.handleRejection(s, action, incarnation, pushback.Signals{Draining: result == engine.RejectedDraining, Backoff: 100 * time.Millisecond})
 			}
 		})
 	}, func(refused bool) { r.attemptEvent(s, core.EventAttempt{Kind: failureKind(refused)}) })
