--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -240,10 +240,10 @@
 	r.w.oracle.checkLimitedSend(pairOf(r.process, e.incarnationName()), e.advertised)
 	r.w.call(r.process, e.process, attemptTimeout, func(respond func(func())) {
 		incarnation := e.incarnation // that speaks, whichever was meant
-		if rest := e.shed.requestedBackoff(e.w.now()); rest > 0 {
+		if backoff := e.shed.requestedBackoff(e.w.now()); backoff > 0 {
 			asker := pairOf(r.process, e.incarnationName())
 			respond(func() {
-				said := pushback.Signals{Backoff: rest}
+				said := pushback.Signals{Backoff: backoff}
 				r.w.oracle.recordSignals(asker, said)
 				r.handleRejection(s, action, incarnation, said)
 			})
