--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -243,9 +243,9 @@
 		if backoff := e.shed.requestedBackoff(e.w.now()); backoff > 0 {
 			asker := pairOf(r.process, e.incarnationName())
 			respond(func() {
-				said := pushback.Signals{Backoff: backoff}
-				r.w.oracle.recordSignals(asker, said)
-				r.handleRejection(s, action, incarnation, said)
+				signals := pushback.Signals{Backoff: backoff}
+				r.w.oracle.recordSignals(asker, signals)
+				r.handleRejection(s, action, incarnation, signals)
 			})
 			return
 		}
