--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -267,8 +267,8 @@
 	}, func(refused bool) { r.attemptEvent(s, core.EventAttempt{Kind: failureKind(refused)}) })
 }
 
-func failureKind(refused bool) core.AttemptEventKind {
-	if refused {
+func failureKind(rejected bool) core.AttemptEventKind {
+	if rejected {
 		return core.AttemptRefused
 	}
 	return core.AttemptBroken
