--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -198,7 +198,7 @@
 // handleCall carries out a fenced call.
 func (e *engineNode) handleCall(call control.EngineCall) {
 	e.advance()
-	before := e.model.Loading()
+	wasLoading := e.model.Loading()
 	loading := 1
 	for _, other := range e.w.engines {
 		if other.up && other.model.Loading() {
@@ -209,7 +209,7 @@
 	if call.Order != nil {
 		e.w.logf("%s is ordered to load %s by %d/%d: accepted=%v", e.name, call.Order.Weights, call.Fence.Term, call.Fence.Sequence, accepted)
 	}
-	if accepted && !before && e.model.Loading() {
+	if accepted && !wasLoading && e.model.Loading() {
 		e.w.oracle.engineLoads(e, call)
 	}
 	e.advance()
