--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -188,11 +188,11 @@
 	if other == nil || !other.up || other.frozen || e.w.isPartitioned(e.process, other.process) {
 		return 0
 	}
-	held := other.model.ExportablePrefix(e.w.now(), chain)
-	for _, hash := range chain[:held] {
+	copied := other.model.ExportablePrefix(e.w.now(), chain)
+	for _, hash := range chain[:copied] {
 		e.cached[hash] = other.cached[hash]
 	}
-	return held
+	return copied
 }
 
 // handleCall carries out a fenced call.
