--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -117,19 +117,19 @@
 }
 
 func (o *operator) send(change settings.Change, left int) {
-	again := func() {
+	resend := func() {
 		if left > 0 {
 			o.after(o.w.between(50*time.Millisecond, 500*time.Millisecond), func() { o.send(change, left-1) })
 		}
 	}
 	o.control.askOnce(control.Request{Change: &change}, controlTimeout, func(response control.Response, answered bool) {
 		if !answered || response.Change == nil || o.w.chance(lostReplyRatio) {
-			again()
+			resend()
 			return
 		}
 		o.w.oracle.operatorOutcome(change, *response.Change)
 		if o.w.chance(duplicateChangeRatio) {
-			again()
+			resend()
 		}
 	})
 }
