--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -116,10 +116,10 @@
 	o.send(change, maxChangeResends)
 }
 
-func (o *operator) send(change settings.Change, left int) {
+func (o *operator) send(change settings.Change, resendsLeft int) {
 	resend := func() {
-		if left > 0 {
-			o.after(o.w.between(50*time.Millisecond, 500*time.Millisecond), func() { o.send(change, left-1) })
+		if resendsLeft > 0 {
+			o.after(o.w.between(50*time.Millisecond, 500*time.Millisecond), func() { o.send(change, resendsLeft-1) })
 		}
 	}
 	o.control.askOnce(control.Request{Change: &change}, controlTimeout, func(response control.Response, answered bool) {
