--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -151,18 +151,18 @@
 
 func (r *routerNode) pollEngine(e *engineNode, cursor *membership.Cursor) {
 	asked := r.clock()
-	again := func() { r.after(backendPollInterval, func() { r.pollEngine(e, cursor) }) }
+	pollAgain := func() { r.after(backendPollInterval, func() { r.pollEngine(e, cursor) }) }
 	r.w.call(r.process, e.process, pollTimeout, func(respond func(func())) {
 		e.advance()
 		report := e.model.Report(e.w.now(), cursor.Next())
 		respond(func() {
 			cursor.Advance(&report)
 			r.post(core.EventBackendPoll{Name: e.name, RequestedAt: asked, Report: &report})
-			again()
+			pollAgain()
 		})
 	}, func(bool) {
 		r.post(core.EventBackendPoll{Name: e.name, RequestedAt: asked})
-		again()
+		pollAgain()
 	})
 }
 
