--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -241,10 +241,10 @@
 	r.w.call(r.process, e.process, attemptTimeout, func(respond func(func())) {
 		incarnation := e.incarnation // that speaks, whichever was meant
 		if backoff := e.shed.requestedBackoff(e.w.now()); backoff > 0 {
-			asker := pairOf(r.process, e.incarnationName())
+			receiver := pairOf(r.process, e.incarnationName())
 			respond(func() {
 				signals := pushback.Signals{Backoff: backoff}
-				r.w.oracle.recordSignals(asker, signals)
+				r.w.oracle.recordSignals(receiver, signals)
 				r.handleRejection(s, action, incarnation, signals)
 			})
 			return
