--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -250,10 +250,10 @@
 			return
 		}
 		result := e.submit(action, s)
-		advertised, limit, asker := e.advertised, e.advertised.limit(e.w.now()), pairOf(r.process, e.incarnationName())
+		advertised, limit, receiver := e.advertised, e.advertised.limit(e.w.now()), pairOf(r.process, e.incarnationName())
 		respond(func() {
 			if limit.Advertised {
-				r.w.oracle.recordLimit(asker, advertised)
+				r.w.oracle.recordLimit(receiver, advertised)
 				r.post(core.EventPushback{Name: action.Backend, Incarnation: incarnation, Signals: pushback.Signals{Limit: limit}})
 			}
 			switch result {
