--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -175,9 +175,9 @@
 		n.store(persist)
 		n.syncing = nil
 		n.send(n.replica.Advance(n.clock()))
-		waiting := n.deferredInputs
+		inputs := n.deferredInputs
 		n.deferredInputs = nil
-		for _, do := range waiting {
+		for _, do := range inputs {
 			n.handleInput(do)
 		}
 		if n.syncing == nil {
