--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -124,9 +124,9 @@
 	ex.toCaller = c.w.newStream(router.process, c.process)
 	router.trackConnection(ex)
 	c.exchanges = append(c.exchanges, ex)
-	life := router.generation
+	incarnation := router.generation
 	c.w.after(c.w.latency(c.process, router.process), func() {
-		router.run(life, func() { router.acceptRequest(ex) })
+		router.run(incarnation, func() { router.acceptRequest(ex) })
 	})
 	if j.toService && c.w.chance(earlyRetryRatio) && j.sends < maxServiceSends {
 		c.after(c.w.between(20*time.Millisecond, time.Second), func() { c.sendAnywhere(j, 0) })
