--- a/internal/lab/sim/history.go
+++ b/internal/lab/sim/history.go
@@ -47,9 +47,9 @@
 // begin returns the operation that a request belongs to.
 func (h *History) begin(now time.Duration, client string, request control.Request) *Operation {
 	id := operationKey(client, request)
-	if held := h.open[id]; held != nil && id != "" {
-		held.Sends++
-		return held
+	if existing := h.open[id]; existing != nil && id != "" {
+		existing.Sends++
+		return existing
 	}
 	operation := &Operation{Client: client, Called: now, Sends: 1, Change: request.Change, Claim: request.Claim, End: request.End}
 	h.Operations = append(h.Operations, operation)
