--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -42,13 +42,13 @@
 		o.fail(SettingsDurable, "the tree is at version %d after version %d was accepted", final.Version(), o.acknowledged)
 		return
 	}
-	inHistory := map[string]uint64{}
+	versionByOperation := map[string]uint64{}
 	for _, entry := range final.History() {
-		inHistory[entry.OperationID] = entry.Version
+		versionByOperation[entry.OperationID] = entry.Version
 	}
 	for _, id := range sortedOperations(o.outcomes) {
 		outcome := o.outcomes[id]
-		version, found := inHistory[id]
+		version, found := versionByOperation[id]
 		accepted := outcome.Kind == settings.OutcomeAccepted
 		if found != accepted || (found && version != outcome.Version) {
 			o.fail(SettingsDurable, "%s was told %s at version %d, the history has it at %d", id, outcome.Kind, outcome.Version, version)
