--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -229,13 +229,13 @@
 
 // callerReceived checks a token.
 func (o *oracle) callerReceived(ex *exchange, chunk core.ActionChunk) {
-	wanted := ex.job.token(ex.nextToken)
+	want := ex.job.token(ex.nextToken)
 	switch {
-	case chunk.Text == wanted && chunk.Index == ex.nextToken:
+	case chunk.Text == want && chunk.Index == ex.nextToken:
 	case len(chunk.Text) > len(ex.job.name) && chunk.Text[:len(ex.job.name)+1] == ex.job.name+":":
-		o.fail(StreamComplete, "%s got token %d as %q, wanted %q", ex.job.name, chunk.Index, chunk.Text, wanted)
+		o.fail(StreamComplete, "%s got token %d as %q, wanted %q", ex.job.name, chunk.Index, chunk.Text, want)
 	default:
-		o.fail(CorrectResponse, "%s got %q of another request, wanted %q", ex.job.name, chunk.Text, wanted)
+		o.fail(CorrectResponse, "%s got %q of another request, wanted %q", ex.job.name, chunk.Text, want)
 	}
 }
 
