--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -76,8 +76,8 @@
 }
 
 const (
-	leavingGrace = 4 * time.Second
-	recoveryTime = 8 * time.Second // without control faults, after which a router must get its lease
+	drainDispatchGrace = 4 * time.Second
+	recoveryTime       = 8 * time.Second // without control faults, after which a router must get its lease
 )
 
 // oracle is the simple model of what callers and operators saw, and of what back ends did.
@@ -138,7 +138,7 @@
 // checkDraining checks a send at the moment the router makes it; what was on its way before may arrive late.
 func (o *oracle) checkDraining(r *routerNode, backend string) {
 	leftAt := o.w.drainingSince(backend)
-	if leftAt > 0 && o.w.now() > leftAt+leavingGrace {
+	if leftAt > 0 && o.w.now() > leftAt+drainDispatchGrace {
 		o.fail(DrainRespected, "%s sent new work to %s %v after it was said to leave", r.name, backend, o.w.now()-leftAt)
 	}
 }
