--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -11,13 +11,13 @@
 	followUpMaxDelay = 2 * time.Second
 )
 
-// fault is one kind of failure. It heals by itself.
+// fault is one kind of failure. It ends by itself.
 type fault struct {
 	name string
 	run  func(*world)
 }
 
-// faultKinds lists every fault, in the order of "What fails" and of the pairs that are hard.
+// faultKinds lists every fault. Its order determines what a seed draws.
 var faultKinds = []fault{
 	{"kill router", (*world).faultKillRouter},
 	{"freeze router", (*world).faultFreezeRouter},
@@ -62,7 +62,7 @@
 	{"back ends that turn requests away and ask for rest", (*world).faultRejectRequests},
 }
 
-// planFaults draws the faults of a run.
+// planFaults schedules the random faults of a run.
 func (w *world) planFaults() {
 	for range minFaults + w.random.IntN(maxFaults-minFaults+1) {
 		at := w.between(firstFault, lastFault)
@@ -82,7 +82,7 @@
 	})
 }
 
-// recordControlDisturbance notes that control may be unwell until a time.
+// recordControlDisturbance records that control may be unavailable for a while.
 func (w *world) recordControlDisturbance(length time.Duration) {
 	w.oracle.controlFault = max(w.oracle.controlFault, w.now()+length)
 }
@@ -141,7 +141,7 @@
 	w.after(length, n.resume)
 }
 
-// faultSuspendControl suspends a replica's machine, mostly the leader's, some right when it acknowledged a change.
+// faultSuspendControl suspends a replica's machine, mostly the leader's, sometimes right after a change was accepted.
 func (w *world) faultSuspendControl() {
 	n := w.leader()
 	if n == nil || w.chance(0.2) {
@@ -159,7 +159,7 @@
 	suspend()
 }
 
-// faultSuspendGateway suspends the machine of a gateway, or of a router, some of these in a claim.
+// faultSuspendGateway suspends the machine of a gateway or a router, some routers during a claim.
 func (w *world) faultSuspendGateway() {
 	length := w.between(200*time.Millisecond, 8*time.Second)
 	if w.chance(0.5) {
@@ -178,7 +178,7 @@
 	r.suspend(length)
 }
 
-// faultPowerLoss ends all control replicas right after an operator was told that a change is accepted.
+// faultPowerLoss kills all control replicas right after a change was acknowledged to an operator.
 func (w *world) faultPowerLoss() {
 	w.onAccept = append(w.onAccept, func() {
 		for _, n := range w.controls {
@@ -188,13 +188,13 @@
 	})
 }
 
-// toleratesDiskLoss reports whether the membership is committed and every voter is up with its disk, so that losing one
-// disk must lose nothing.
+// toleratesDiskLoss reports whether the loss of one disk must lose no data: there is no partition, and every voter is
+// intact.
 func (w *world) toleratesDiskLoss() bool {
 	return len(w.network.partitioned) == 0 && w.allVotersIntact()
 }
 
-// allVotersIntact reports whether there is a leader, and every voter is up with the disk that it voted from.
+// allVotersIntact reports whether there is a leader with a committed membership and every voter runs on its original disk.
 func (w *world) allVotersIntact() bool {
 	leader := w.leader()
 	if leader == nil || !leader.replica.Node().MembershipCommitted() {
@@ -223,7 +223,7 @@
 	panic("sim: no control replica " + name)
 }
 
-// loseDisk loses a replica's disk; it comes back with an empty folder.
+// loseDisk kills a replica, which restarts with an empty data directory.
 func (w *world) loseDisk(n *controlNode) {
 	w.logf("%s loses its disk", n.name)
 	n.die(w.chance(0.5))
@@ -266,8 +266,8 @@
 	w.after(20*time.Millisecond, second)
 }
 
-// faultLaggingElected cuts one follower off, waits for an accepted change, then takes the disk of the other
-// follower and the life of the leader, and heals the cut: only the leader's disk holds the change then.
+// faultLaggingElected partitions one follower, waits for an accepted change, kills the leader, loses the other
+// follower's disk and heals the partition. Only the leader's disk has the change then.
 func (w *world) faultLaggingElected() {
 	if !w.toleratesDiskLoss() {
 		return
@@ -287,7 +287,7 @@
 	w.recordControlDisturbance(4 * time.Second)
 	w.onAccept = append(w.onAccept, func() {
 		if !w.allVotersIntact() {
-			return // another disk was lost meanwhile, and two at once are more than a group of three bears
+			return // another disk was lost meanwhile; a group of three doesn't tolerate two
 		}
 		leader.die(true)
 		w.loseDisk(lost)
@@ -296,7 +296,7 @@
 	w.after(3500*time.Millisecond, heal)
 }
 
-// partitionZone cuts a zone from the others and returns what heals it.
+// partitionZone partitions a zone from the others and returns a function that heals the partition.
 func (w *world) partitionZone(zone string) (heal func()) {
 	var pairs [][2]string
 	for _, other := range zones {
@@ -317,7 +317,7 @@
 				delete(w.network.partitioned, pair)
 			}
 		}
-		w.logf("cut healed")
+		w.logf("partition healed")
 	}
 }
 
@@ -344,7 +344,7 @@
 	w.recordControlDisturbance(length)
 }
 
-// faultBlackout takes the majority of control while routers restart.
+// faultBlackout kills a majority of the control replicas while all routers restart.
 func (w *world) faultBlackout() {
 	length := w.between(3*time.Second, 8*time.Second)
 	for _, n := range w.controls[:groupSize-1] {
@@ -357,7 +357,7 @@
 	}
 }
 
-// faultRace makes both operators edit the same version at once, several times.
+// faultRace makes the operators edit the same version concurrently, several times.
 func (w *world) faultRace() {
 	for round := range 4 {
 		w.after(time.Duration(round)*700*time.Millisecond, func() {
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -26,17 +26,18 @@
 	fleetSendInterval      = 60 * time.Millisecond
 	fleetLoadTime          = 800 * time.Millisecond
 	fleetDrainTime         = 2 * time.Second
-	olderWeightsRatio      = 0.2             // share of lives that begin with older weights than the last one had
-	maxOrderDelay          = 4 * time.Second // longest delay of an order whose answer was lost
-	replicaSwitchRatio     = 0.1             // share of a gateway's questions with which it goes to another replica
-	noRelay                = 1 << 20         // gateways up to which the leader answers all, where no replica is to answer for it
-	// sendWindow after a back end began to load, while the leader that ordered it goes on leading, no gateway may send there.
+	olderWeightsRatio      = 0.2             // share of starts with older weights than the last incarnation had
+	maxOrderDelay          = 4 * time.Second // longest delay of an order whose reply was lost
+	replicaSwitchRatio     = 0.1             // share of watches with which a gateway switches to another replica
+	noRelay                = 1 << 20         // more gateways than any run has: the leader answers all watches
+	// sendWindow is how long after a back end began to load no gateway may send to it, while the ordering leader still leads.
 	sendWindow = 300 * time.Millisecond
-	// holderWindow is the least time between orders of two holders to one back end: the pause by a clock that runs fast.
+	// holderWindow is the minimum time between orders of two leaders to one back end, as a fast clock measures the delay.
 	holderWindow = fleetOrderDelay * 100 / 105
 )
 
-// fleetOperator replaces the routing document and names weights; it resends when an answer is lost, and races the other.
+// fleetOperator replaces the routing document and publishes weights, concurrently with the other operators. It retries
+// when a reply is lost.
 type fleetOperator struct {
 	*process
 	asker *asker
@@ -49,8 +50,8 @@
 	o.after(o.w.between(6*time.Second, 12*time.Second), o.publishWeightsPeriodically)
 }
 
-// replace sends a document a few revisions above the newest one that anybody was told of, so that two operators may use
-// the same number for different contents.
+// replace sends a document a few revisions above the newest acknowledged one, so that two operators may use the same
+// revision for different contents.
 func (o *fleetOperator) replace() {
 	if o.w.now() > activeTime {
 		return
@@ -99,7 +100,8 @@
 	})
 }
 
-// fleetBackend registers itself, takes orders, drains, leaves, and comes back as another life at its address.
+// fleetBackend registers itself, carries out weights orders, drains, deregisters and restarts as a new incarnation at
+// its address.
 type fleetBackend struct {
 	*process
 	asker        *asker
@@ -109,11 +111,11 @@
 	draining     bool
 	version      uint64
 	loadingUntil time.Duration
-	revision     uint64 // orders taken in this life
+	revision     uint64 // orders accepted by this incarnation
 	fence        uint64
 	rejecting    rejection
 	advertised   limitPeriod
-	ackedState   string // what a heartbeat told that the leader has taken
+	ackedState   string // state that the leader acknowledged last
 }
 
 func (b *fleetBackend) boot() {
@@ -125,13 +127,14 @@
 	b.rejecting, b.advertised = rejection{}, limitPeriod{}
 	b.version = max(b.version, 1)
 	if b.version > 1 && b.w.chance(olderWeightsRatio) {
-		b.version-- // it kept older weights than it was last seen with
+		b.version-- // restarts with older weights on its disk
 	}
 	b.ticker(fleetHeartbeatInterval, b.heartbeat)
 	b.after(b.w.between(10*time.Second, 40*time.Second), b.drain)
 }
 
-// nextID returns the id of the life that begins: the back end's own name and its start, or, in every other run, a name of each life.
+// nextID returns the ID of the new incarnation: the back end's name with its start time, or, in runs without start times,
+// a name of its own.
 func (b *fleetBackend) nextID() string {
 	if b.w.reportsStartTime {
 		return catalog.Incarnation{Name: b.process.name, StartedMS: b.w.today().UnixMilli()}.ID()
@@ -139,7 +142,8 @@
 	return fmt.Sprintf("%s-%d", b.process.name, b.incarnations)
 }
 
-// matchesID reports whether a call that expects a life reaches this one: a back end knows its name alone.
+// matchesID reports whether a call to an instance is meant for this back end. It compares names only: a back end doesn't
+// know its own instance ID.
 func (b *fleetBackend) matchesID(id string) bool {
 	return catalog.ParseInstanceID(id).Name == catalog.ParseInstanceID(b.id).Name
 }
@@ -152,7 +156,7 @@
 	return catalog.Instance{ID: b.id, Service: fleetService, Address: b.process.name, Zone: b.zone, State: state}
 }
 
-// heartbeat sends a heartbeat; some arrive seconds late.
+// heartbeat sends a heartbeat. Some arrive seconds late.
 func (b *fleetBackend) heartbeat() {
 	b.sequence++
 	beat := &control.BackendHeartbeat{Instance: b.instance(), Sequence: b.sequence, Versions: map[string]uint64{fleetModel: b.version}}
@@ -163,7 +167,7 @@
 	b.w.after(late, func() { b.sendHeartbeat(beat) })
 }
 
-// sendHeartbeat sends a heartbeat, or a sign where the leader has taken a whole one that told the same.
+// sendHeartbeat sends a full heartbeat, or sometimes a keepalive if the leader has acknowledged the same state.
 func (b *fleetBackend) sendHeartbeat(beat *control.BackendHeartbeat) {
 	request := b.request(beat)
 	if b.ackedState == heartbeatState(beat) && beat.Sequence%3 == 0 {
@@ -179,12 +183,12 @@
 	})
 }
 
-// heartbeatState names what a heartbeat tells beside its number.
+// heartbeatState returns the contents of a heartbeat without its sequence number.
 func heartbeatState(beat *control.BackendHeartbeat) string {
 	return fmt.Sprint(beat.Instance.ID, beat.Instance.State, beat.Versions[fleetModel])
 }
 
-// request puts a heartbeat into a call: every other one as a replica that gathers heartbeats passes them on.
+// request wraps a heartbeat: every other one as a batch, as replicas forward them.
 func (b *fleetBackend) request(beat *control.BackendHeartbeat) control.Request {
 	if beat.Sequence%2 == 0 {
 		return control.Request{BackendHeartbeats: []control.BackendHeartbeat{*beat}}
@@ -192,7 +196,7 @@
 	return control.Request{BackendHeartbeat: beat}
 }
 
-// drain says that the instance leaves, and ends it after the acknowledgement.
+// drain reports that the instance is draining. After the reply it deregisters, stops and restarts.
 func (b *fleetBackend) drain() {
 	if b.w.now() > activeTime {
 		return
@@ -215,7 +219,7 @@
 	})
 }
 
-// handleCall carries out a call of a leader.
+// handleCall carries out a weights call of a leader.
 func (b *fleetBackend) handleCall(call control.WeightsCall) control.WeightsResult {
 	loading := b.w.now() < b.loadingUntil
 	switch {
@@ -235,8 +239,8 @@
 	return control.WeightsResult{Kind: control.WeightsAccepted}
 }
 
-// callBackend passes a leader's call on and its result back. Some answers are lost, and the order is then carried out
-// late or never.
+// callBackend delivers a leader's weights call and returns the result. Some replies are lost; the order is then carried
+// out late or never.
 func (n *controlNode) callBackend(call control.WeightsCall) {
 	target := n.w.fleetBackend(call.Address)
 	if target == nil {
@@ -276,7 +280,7 @@
 	return w.backends[at]
 }
 
-// fleetGateway follows control as a gateway does, and sends to back ends of its roster while its view counts.
+// fleetGateway watches control as a gateway does, and sends to back ends of its roster while its view is valid.
 type fleetGateway struct {
 	*process
 	asker           *asker
@@ -284,12 +288,12 @@
 	revision        uint64
 	version         control.RosterVersion
 	roster          []control.RosterEntry
-	confirmed       time.Duration // by its own clock; 0 never
+	confirmed       time.Duration // when its view was confirmed, by its own clock; 0: never
 	crashes         *quarantine.Tracker
 	publishTimes    *belief.PublishTimes
-	signals         *pushback.Tracker // what back ends said of themselves
+	signals         *pushback.Tracker // what back ends reported about themselves
 	leases          *allowance.Client
-	leaseAsker      *asker // asks for parts of limits
+	leaseAsker      *asker // requests leases on advertised limits
 	requestingLease bool
 }
 
@@ -317,7 +321,7 @@
 		Gateway: g.process.name, Zone: g.zone, Revision: g.revision, Roster: g.version, Hold: fleetHold, Quarantine: g.crashes.Version(),
 	}
 	if g.w.relaysWatches && g.w.chance(replicaSwitchRatio) {
-		g.asker.leader = pick(g.w, g.w.controls).name // another replica answers from now on
+		g.asker.leader = pick(g.w, g.w.controls).name // switch to another replica
 	}
 	g.asker.once(control.Request{Watch: watch}, askTimeout, func(response control.Response, answered bool) {
 		pause := askPause
@@ -349,12 +353,12 @@
 	g.leases.RecordContact(asked, reply.Gateways)
 }
 
-// hasValidView reports whether the gateway's view counts.
+// hasValidView reports whether the view was confirmed within its TTL.
 func (g *fleetGateway) hasValidView() bool {
 	return g.confirmed > 0 && g.clock()-g.confirmed < fleetViewTTL && len(g.roster) > 0
 }
 
-// send picks a back end as a gateway would and tells the oracle.
+// send sends a request to a random back end of the roster if the gateway may use it.
 func (g *fleetGateway) send() {
 	if !g.hasValidView() {
 		return
@@ -364,7 +368,7 @@
 	}
 }
 
-// maySendTo reports whether a back end may get a request, but for its limit.
+// maySendTo reports whether a back end accepts requests, apart from its advertised limit.
 func (g *fleetGateway) maySendTo(entry control.RosterEntry) bool {
 	return g.hasValidView() && entry.State == catalog.StateReady && !entry.Loading && !g.startsTooLate(entry) && !g.isRestricted(entry)
 }
@@ -374,7 +378,7 @@
 	g.startRequest(entry)
 }
 
-// maxDirectGateways is how many gateways the leader answers by itself: all, or none in every other run.
+// maxDirectGateways returns how many gateways the leader answers itself: none in runs with relays, otherwise all.
 func (w *world) maxDirectGateways() int {
 	if w.relaysWatches {
 		return 0
@@ -382,7 +386,7 @@
 	return noRelay
 }
 
-// makeFleet lays the gateway fleet out over the zones.
+// makeFleet creates the gateway fleet, spread over the zones.
 func (w *world) makeFleet() {
 	for i := range fleetBackends {
 		w.backends = append(w.backends, &fleetBackend{process: newProcess(w, fmt.Sprintf("backend-%d", i+1), zones[i%len(zones)])})
@@ -407,7 +411,7 @@
 	}
 }
 
-// healFleet brings every process of the fleet back.
+// healFleet resumes or restarts every process of the fleet.
 func (w *world) healFleet() {
 	for _, g := range w.gateways {
 		g.resume()
--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// faultFleetProcess strikes one process of the fleet.
+// faultFleetProcess kills a back end, or kills or freezes a gateway.
 func (w *world) faultFleetProcess() {
 	w.faults++
 	if w.chance(0.4) {
@@ -21,7 +21,7 @@
 	w.restart(struck, w.between(100*time.Millisecond, 3*time.Second))
 }
 
-// faultStallDisk makes a replica's disk answer nothing for a while: it must neither acknowledge nor lead meanwhile.
+// faultStallDisk blocks a replica's disk for a while. The replica must neither acknowledge changes nor lead meanwhile.
 func (w *world) faultStallDisk() {
 	n := pick(w, w.controls)
 	if leader := w.leader(); leader != nil && w.chance(0.6) {
@@ -36,14 +36,14 @@
 	n.w.recordControlDisturbance(length + calmNeeded)
 }
 
-// faultStallOrder stalls the disk of a leader between the decision and the send of an order, once weights are named.
+// faultStallOrder blocks the leader's disk between the decision to send a weights order and its sending.
 func (w *world) faultStallOrder() {
 	w.mischief.stallDiskOnOrder = true
 	pick(w, w.fleetOperators).publishWeights()
 }
 
-// faultCutThenKill cuts a replica off while changes are made, heals the cut, and kills the others at once: what they
-// acknowledged must survive on their disks, and the one that was behind must not lead without it.
+// faultCutThenKill partitions a replica while changes are made, heals the partition and kills the others at once.
+// Acknowledged changes must survive on their disks, and the outdated replica must not lead without them.
 func (w *world) faultCutThenKill() {
 	behind := pick(w, w.controls)
 	length := w.between(2*time.Second, 6*time.Second)
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -9,21 +9,21 @@
 	"kitetiller/internal/control"
 )
 
-// fleetOracle is what operators and back ends of the gateway fleet were told.
+// fleetOracle records what operators, gateways and back ends of the fleet were told.
 type fleetOracle struct {
-	acknowledged       uint64                   // highest revision that an operator was told of
+	acknowledged       uint64                   // highest revision acknowledged to an operator
 	contents           map[uint64]string        // content seen under each revision
-	usedRevision       map[string]uint64        // newest revision by gateway, in its current life
-	draining           map[string]time.Duration // instances whose draining was acknowledged, and when
-	lastPublishedSent  uint64                   // highest version that was sent
+	usedRevision       map[string]uint64        // newest revision by gateway, in its current incarnation
+	draining           map[string]time.Duration // when the draining of an instance was acknowledged
+	lastPublishedSent  uint64                   // highest version that was sent for publication
 	lastPublishedAcked uint64
-	publications       map[uint64]*publication             // by version, of all that were sent
-	publicationSeenAt  map[string]map[uint64]time.Duration // by gateway and version: when it first heard of it, in its current life
+	publications       map[uint64]*publication             // by version; all that were sent
+	publicationSeenAt  map[string]map[uint64]time.Duration // by gateway and version; current incarnations only
 	orders             map[string]issuedOrder              // newest by instance
-	loadStarts         map[string]issuedOrder              // newest that a back end took at once, by instance
+	loadStarts         map[string]issuedOrder              // newest accepted, by instance
 }
 
-// issuedOrder is an order that left its leader.
+// issuedOrder is a weights order that a leader sent.
 type issuedOrder struct {
 	at     time.Duration
 	holder consensus.ID
@@ -38,7 +38,7 @@
 	}
 }
 
-// watchFloor is what had been told when a question was asked; no answer may be older.
+// watchFloor is what had been acknowledged when a watch was sent. No reply may be older.
 type watchFloor struct {
 	revision uint64
 	at       time.Duration
@@ -52,7 +52,7 @@
 	o.fleet.acknowledged = max(o.fleet.acknowledged, revision)
 }
 
-// checkWatchReply checks a confirmed view: it must hold everything that was acknowledged before it was asked for.
+// checkWatchReply checks that a confirmed view includes everything that was acknowledged before the watch was sent.
 func (o *oracle) checkWatchReply(gateway string, floor watchFloor, reply *control.WatchReply) {
 	if reply.Revision < floor.revision {
 		o.fail(SettingsHold, "%s was confirmed revision %d after %d had been acknowledged", gateway, reply.Revision, floor.revision)
@@ -68,12 +68,12 @@
 	}
 }
 
-// checkDocument checks that a revision has one content and that no life of a gateway goes back.
+// checkDocument checks that a revision has a single content and that no gateway incarnation goes back to an older one.
 func (o *oracle) checkDocument(gateway string, document catalog.Document) {
 	content := document.Services[0].Name
 	known, seen := o.fleet.contents[document.Revision]
 	if seen && known != content {
-		o.fail(SettingsHold, "revision %d is both %s and %s", document.Revision, known, content)
+		o.fail(SettingsHold, "revision %d has two contents: %s and %s", document.Revision, known, content)
 	}
 	o.fleet.contents[document.Revision] = content
 	if document.Revision < o.fleet.usedRevision[gateway] {
@@ -82,7 +82,7 @@
 	o.fleet.usedRevision[gateway] = document.Revision
 }
 
-// checkOrder checks that holders do not take turns, and remembers the order.
+// checkOrder records an order and checks that two leaders don't order weights at one back end within holderWindow.
 func (o *oracle) checkOrder(issuer *controlNode, call control.WeightsCall) {
 	before, known := o.fleet.orders[call.Instance]
 	now := o.w.now()
@@ -92,19 +92,19 @@
 	o.fleet.orders[call.Instance] = issuedOrder{at: now, holder: issuer.identity.ID, issuer: issuer, term: issuer.replica.Node().Term()}
 }
 
-// recordLoadStart notes that a back end begins to load.
+// recordLoadStart records that a back end accepted an order and starts to load.
 func (o *oracle) recordLoadStart(call control.WeightsCall) {
 	order := o.fleet.orders[call.Instance]
 	order.at = o.w.now()
 	o.fleet.loadStarts[call.Instance] = order
 }
 
-// recordLostReply notes that the leader does not know whether its order was taken. Requests then go on by design, and name the
-// weights that they count on; the back end refuses them if it holds others.
+// recordLostReply records that the leader doesn't know whether its order was accepted. Requests then continue by design;
+// they name the weights that they expect, and a back end that has others rejects them.
 func (o *oracle) recordLostReply(call control.WeightsCall) { delete(o.fleet.loadStarts, call.Instance) }
 
-// checkFleetSend checks a gateway's send: while the leader that ordered new weights goes on leading, no gateway whose view
-// counts sends to the back end that is about to load.
+// checkFleetSend checks that no gateway with a valid view sends to a back end that loads weights, while the ordering leader
+// still leads.
 func (o *oracle) checkFleetSend(gateway, instance string) {
 	order, known := o.fleet.loadStarts[instance]
 	if !known || o.w.now()-order.at > sendWindow || o.w.now() <= order.at {
@@ -116,16 +116,16 @@
 	}
 }
 
-// checkFleetSettled checks that after the faults everything acknowledged is in force everywhere.
+// checkFleetSettled checks that every acknowledged change is in force everywhere once the faults have ended.
 func (o *oracle) checkFleetSettled() {
 	for _, g := range o.w.gateways {
 		if g.revision < o.fleet.acknowledged {
-			o.fail(SettingsHold, "%s rests at revision %d, %d was acknowledged", g.process.name, g.revision, o.fleet.acknowledged)
+			o.fail(SettingsHold, "%s ended at revision %d although %d was acknowledged", g.process.name, g.revision, o.fleet.acknowledged)
 		}
 	}
 	for _, b := range o.w.backends {
 		if !b.draining && b.version < o.fleet.lastPublishedAcked {
-			o.fail(CacheIsolation, "%s rests at weights %d, %d was acknowledged", b.id, b.version, o.fleet.lastPublishedAcked)
+			o.fail(CacheIsolation, "%s ended with weights %d although %d was acknowledged", b.id, b.version, o.fleet.lastPublishedAcked)
 		}
 	}
 	if o.fleet.acknowledged == 0 {
--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	drainDuration = 10 * time.Second // until a leaving back end ends
-	restartDelay  = 2 * time.Second  // until it comes back
+	drainDuration = 10 * time.Second // until a draining back end stops
+	restartDelay  = 2 * time.Second  // until it restarts
 )
 
-// pendingFaults is what back ends and the machine list do wrong on purpose, and until when.
+// pendingFaults are faults that last for a while or wait for an event.
 type pendingFaults struct {
-	stallDiskOnOrder bool // the disk stalls under the next order for weights
+	stallDiskOnOrder bool // the leader's disk stalls at the next weights order
 	streamsUntil     time.Duration
 	servicesUntil    time.Duration
 	onNextClaim      func(*routerNode)                // run at the next claim of a router
 	onNextOrder      func(*controlNode) time.Duration // run at the next order to an engine
 }
 
-// delayOrder runs a fault that waits for an order, and returns how long the order takes then.
+// delayOrder runs the fault that waits for an order, if any, and returns the order's delay.
 func (m *pendingFaults) delayOrder(n *controlNode) time.Duration {
 	waiting := m.onNextOrder
 	if waiting == nil {
@@ -26,7 +26,7 @@
 	return waiting(n)
 }
 
-// onClaim runs a fault that waits for a claim.
+// onClaim runs the fault that waits for a claim, if any.
 func (m *pendingFaults) onClaim(r *routerNode) {
 	if waiting := m.onNextClaim; waiting != nil {
 		m.onNextClaim = nil
@@ -38,7 +38,7 @@
 	e := pick(w, w.engines)
 	e.kill(w.chance(0.5))
 	if w.chance(0.5) {
-		w.restart(e, w.between(10*time.Millisecond, 80*time.Millisecond)) // back before anybody noticed
+		w.restart(e, w.between(10*time.Millisecond, 80*time.Millisecond)) // before the failure is detected
 		return
 	}
 	w.restart(e, w.between(100*time.Millisecond, 3*time.Second))
@@ -60,8 +60,8 @@
 	w.drainBackend(s.process, s)
 }
 
-// drainBackend has the machine list say that a back end leaves; the back end itself does not know. Later it ends, and comes
-// back as a new one.
+// drainBackend marks a back end as leaving in the machine list only; the back end itself isn't told. It stops after
+// drainDuration and restarts as a new incarnation.
 func (w *world) drainBackend(p *process, n node) {
 	if p.drainingSince > 0 {
 		return
@@ -89,7 +89,7 @@
 	w.mischief.servicesUntil = w.now() + w.between(2*time.Second, 8*time.Second)
 }
 
-// faultWrongList makes the machine list leave out an engine that is alive.
+// faultWrongList omits a running engine from the machine list.
 func (w *world) faultWrongList() {
 	e := pick(w, w.engines)
 	w.platform.omitted[e.name] = true
@@ -97,7 +97,7 @@
 }
 
 // faultClaimFreeze freezes a router that waits for a claim. Meanwhile a change comes into force and the router's
-// session ends; it thaws into a cut, so that nothing but its own clock tells it.
+// session expires. The router resumes in a partition, so that it can notice this by its own clock only.
 func (w *world) faultClaimFreeze() {
 	w.mischief.onNextClaim = func(r *routerNode) {
 		if r.zone == serveLastZone {
@@ -114,7 +114,7 @@
 	}
 }
 
-// faultKillEngines ends engines one after the other, each of which is back at once and empty.
+// faultKillEngines kills the engines one after the other. Each restarts at once with an empty cache.
 func (w *world) faultKillEngines() {
 	for i, e := range w.engines {
 		w.after(time.Duration(i)*900*time.Millisecond, func() {
@@ -130,8 +130,8 @@
 	}
 }
 
-// faultSlowOrder keeps an order on its way while its leader freezes, another one is elected and the tree is changed
-// back, so that the order arrives after a newer one.
+// faultSlowOrder delays an order while its leader is frozen, another one is elected and the settings are changed back,
+// so that the order arrives after a newer one.
 func (w *world) faultSlowOrder() {
 	const length = 5 * time.Second
 	w.mischief.onNextOrder = func(leader *controlNode) time.Duration {
@@ -146,15 +146,15 @@
 	w.operators[0].flipWeights()
 }
 
-// faultLeaseEnds watches the end of a lease several times.
+// faultLeaseEnds tests the expiry of a router's lease several times.
 func (w *world) faultLeaseEnds() {
 	for round := range 3 {
 		w.after(time.Duration(round)*6*time.Second, w.faultLeaseEnd)
 	}
 }
 
-// faultLeaseEnd cuts a router off, changes the tree, and sends requests to that router while operators look again and
-// again whether the change is in force: the router must have stopped by then, however its clock runs.
+// faultLeaseEnd partitions a router, changes the settings and sends requests to that router while an operator polls
+// whether the change is in force. The router must have stopped serving by then, whatever the skew of its clock.
 func (w *world) faultLeaseEnd() {
 	const length = 4 * time.Second
 	leader := w.leader()
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -4,18 +4,18 @@
 
 const (
 	callerZone     = "callers"  // callers reach every zone
-	platformZone   = "platform" // and so does the machine list
+	platformZone   = "platform" // the machine list reaches every zone, too
 	refusalDelay   = 2 * time.Millisecond
 	resendInterval = 100 * time.Millisecond
 	localLatency   = 200 * time.Microsecond
 	zoneLatency    = 1500 * time.Microsecond
-	callLossRatio  = 0.001 // share of calls whose connection dies in a network without faults
+	callLossRatio  = 0.001 // share of calls whose connection breaks in a healthy network
 )
 
-// network tells how messages travel.
+// network is the state of the simulated network.
 type network struct {
-	partitioned   map[[2]string]int // directed zone pairs that are cut, and how often
-	degradedUntil time.Duration     // messages are lost, delayed, repeated and reordered until then
+	partitioned   map[[2]string]int // number of partitions by directed pair of zones
+	degradedUntil time.Duration     // messages are lost, delayed, duplicated and reordered until then
 	lossRatio     float64
 }
 
@@ -25,7 +25,7 @@
 
 func (w *world) isDegraded() bool { return w.now() < w.network.degradedUntil }
 
-// latency draws the time of one way.
+// latency returns a random one-way latency.
 func (w *world) latency(from, to *process) time.Duration {
 	base := localLatency
 	if from.zone != to.zone {
@@ -38,12 +38,12 @@
 	return delay
 }
 
-// lost draws whether a message is lost.
+// lost reports whether a message is lost, at random or by a partition.
 func (w *world) lost(from, to *process) bool {
 	return w.isPartitioned(from, to) || (w.isDegraded() && w.chance(w.network.lossRatio))
 }
 
-// message sends something that may be lost, repeated or reordered.
+// message sends a message that may be lost, duplicated or reordered.
 func (w *world) message(from, to *process, arrive func()) {
 	copies := 1
 	if w.isDegraded() && w.chance(0.1) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// call is a request with one answer. Exactly one of the answer's function and failed is run at the caller, unless
-// the caller dies first. failed tells whether the callee provably did not get the request.
+// call is a request with one reply. Exactly one of the reply's function and failed runs at the caller, unless the caller
+// ends first. The argument of failed reports whether the callee provably didn't receive the request.
 type call struct {
 	w        *world
 	from, to *process
@@ -68,7 +68,7 @@
 	failed   func(notSent bool)
 }
 
-// call sends a request; serve runs at the callee and answers through respond.
+// call sends a request. serve runs at the callee and replies through respond.
 func (w *world) call(from, to *process, timeout time.Duration, serve func(respond func(answer func())), failed func(refused bool)) {
 	c := &call{w: w, from: from, to: to, fromLife: from.generation, failed: failed}
 	if !to.up {
@@ -111,7 +111,7 @@
 	})
 }
 
-// stream is an ordered connection. Messages wait while the zones are cut from each other, as TCP would have them.
+// stream is an ordered connection. As with TCP, messages wait while a partition separates the zones.
 type stream struct {
 	w           *world
 	from, to    *process
--- a/internal/lab/sim/platform.go
+++ b/internal/lab/sim/platform.go
@@ -8,15 +8,15 @@
 
 const (
 	platformInterval = 250 * time.Millisecond
-	platformLag      = 800 * time.Millisecond // how old a reading is
+	platformLag      = 800 * time.Millisecond // age of the machine list when it is read
 	maxReadings      = 8
 )
 
-// platform is the machine list, which lags and is sometimes wrong.
+// platform serves the machine list, which lags behind and is sometimes wrong.
 type platform struct {
 	*process
 	readings [][]core.Machine // newest last
-	omitted  map[string]bool  // live machines that the list leaves out
+	omitted  map[string]bool  // running machines that the list omits
 }
 
 func (p *platform) boot() {
@@ -26,7 +26,7 @@
 	p.ticker(platformInterval, p.sample)
 }
 
-// sample records the truth, apart from what the list gets wrong.
+// sample records the current machines, without the omitted ones.
 func (p *platform) sample() {
 	var machines []core.Machine
 	add := func(held *process, service string, leaving bool) {
@@ -46,13 +46,13 @@
 	}
 }
 
-// currentMachines returns the reading that is platformLag old.
+// currentMachines returns the machine list as of platformLag ago.
 func (p *platform) currentMachines() []core.Machine {
 	at := max(0, len(p.readings)-1-int(platformLag/platformInterval))
 	return p.readings[at]
 }
 
-// drainingSince returns when the platform said that a back end leaves, or 0.
+// drainingSince returns when the machine list first marked a back end as leaving, or 0.
 func (w *world) drainingSince(name string) time.Duration {
 	if e := w.engine(name); e != nil {
 		return e.drainingSince
--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -7,32 +7,33 @@
 	"kitetiller/internal/guard"
 )
 
-// process is one simulated process: it can be killed, started again, frozen and thawed.
+// process is a simulated process that can be killed, restarted, frozen and resumed.
 type process struct {
 	w             *world
 	name          string
 	zone          string
-	generation    int // raised at each start and each end
+	generation    int // incremented at each start and each end
 	up            bool
 	frozen        bool
-	speed         float64       // of its monotonic clock
-	drainingSince time.Duration // when the machine list said that it leaves; 0 when it does not
-	resumedAt     time.Duration // when it last went on after a freeze
-	// suspendedAt is when its machine was suspended, or 0; suspendedFor is how long it was in this life. Timers stand still meanwhile.
+	speed         float64       // rate of its monotonic clock
+	drainingSince time.Duration // when the machine list marked it as leaving; 0: not leaving
+	resumedAt     time.Duration // when it was last resumed
+	// suspendedAt is when its machine was suspended, or 0; suspendedFor is the total of this incarnation. Timers don't
+	// advance while the machine is suspended.
 	suspendedAt, suspendedFor time.Duration
-	backlog                   []func()     // what arrived while it was frozen
-	connections               []connection // connections that break when it dies
+	backlog                   []func()     // events that arrived while it was frozen
+	connections               []connection // reset when the process ends
 }
 
-// clockSkew is how much faster or slower than true time a process's monotonic clock may run.
+// clockSkew is the maximum rate error of a process's monotonic clock.
 const clockSkew = 0.05
 
-// elapsed returns what the process's clock shows between two true times.
+// elapsed returns the time that the process's clock measures between two true times.
 func (p *process) elapsed(from, to time.Duration) time.Duration {
 	return time.Duration(float64(to-from-p.uncountedTime()) * p.speed)
 }
 
-// uncountedTime returns how much of this life the clock doesn't count.
+// uncountedTime returns the suspended time that the process's clock doesn't count.
 func (p *process) uncountedTime() time.Duration {
 	if p.w.guards.On(guard.SuspendAwareClock) {
 		return 0
@@ -40,7 +41,7 @@
 	return p.suspendedFor
 }
 
-// trueTime returns when the process's clock, started at a true time, shows a reading.
+// trueTime returns the true time at which the process's clock, started at a true time, shows a reading.
 func (p *process) trueTime(start, reading time.Duration) time.Duration {
 	return start + p.uncountedTime() + time.Duration(float64(reading)/p.speed)
 }
@@ -49,14 +50,14 @@
 	return &process{w: w, name: name, zone: zone, speed: 1 + clockSkew*(2*w.random.Float64()-1)}
 }
 
-// start begins a new life.
+// start begins a new incarnation.
 func (p *process) start() {
 	p.generation++
 	p.up, p.frozen = true, false
 	p.suspendedAt, p.suspendedFor = 0, 0
 }
 
-// kill ends the life. A silent death breaks connections late, as when a machine loses its power.
+// kill ends the process. If silent, its connections break only after a keep-alive timeout, as when a machine loses power.
 func (p *process) kill(silent bool) {
 	if !p.up {
 		return
@@ -76,13 +77,13 @@
 	}
 }
 
-// A silent death is noticed by keep-alive only.
+// Range of the keep-alive timeout, after which peers notice the silent end of a process.
 const (
 	minKeepAliveTimeout = 10 * time.Second
 	maxKeepAliveTimeout = 15 * time.Second
 )
 
-// node is a process that can be started again.
+// node is a process that can be restarted.
 type node interface {
 	isUp() bool
 	boot()
@@ -90,7 +91,7 @@
 
 func (p *process) isUp() bool { return p.up }
 
-// restart starts a process again after a while, unless somebody else did.
+// restart starts a process after a delay unless it is up by then.
 func (w *world) restart(n node, after time.Duration) {
 	w.after(after, func() {
 		if !n.isUp() {
@@ -99,16 +100,16 @@
 	})
 }
 
-// connection is something that the other side notices when a process dies.
+// connection is reset for the other side when a process ends.
 type connection interface {
 	reset()
 	ended() bool
 }
 
-// maxTrackedConnections is the number of connections from which ended ones are dropped.
+// maxTrackedConnections is the number of connections at which ended ones are removed.
 const maxTrackedConnections = 256
 
-// trackConnection notes a connection to the process.
+// trackConnection records a connection to the process.
 func (p *process) trackConnection(fresh connection) {
 	if len(p.connections) >= maxTrackedConnections {
 		p.connections = slices.DeleteFunc(p.connections, connection.ended)
@@ -116,7 +117,7 @@
 	p.connections = append(p.connections, fresh)
 }
 
-// freeze stops the process; what arrives waits.
+// freeze stops the process. Events that arrive meanwhile are queued.
 func (p *process) freeze() {
 	if p.up {
 		p.frozen = true
@@ -124,7 +125,7 @@
 	}
 }
 
-// resume lets the process go on with what has arrived, in order.
+// resume continues a frozen process with the queued events, in order.
 func (p *process) resume() {
 	if !p.up || !p.frozen {
 		return
@@ -134,7 +135,7 @@
 		p.suspendedFor += p.w.now() - p.suspendedAt
 		p.suspendedAt = 0
 	}
-	p.w.logf("%s thaws with %d things waiting", p.name, len(p.backlog))
+	p.w.logf("%s resumes with %d queued events", p.name, len(p.backlog))
 	waiting := p.backlog
 	p.backlog = nil
 	life := p.generation
@@ -143,7 +144,7 @@
 	}
 }
 
-// run does something within a life: now, or when the process thaws. It is dropped when the life has ended.
+// run calls a function now, or once the process is resumed. It does nothing if the generation is no longer current.
 func (p *process) run(life int, do func()) {
 	switch {
 	case !p.up || p.generation != life:
@@ -154,7 +155,7 @@
 	}
 }
 
-// after sets a timer of the process's current life. It stands still while the machine is suspended.
+// after sets a timer of the current generation. It doesn't advance while the machine is suspended.
 func (p *process) after(delay time.Duration, do func()) {
 	life, lost, armed := p.generation, p.suspendedFor, p.w.now()
 	p.w.after(delay, func() {
@@ -183,7 +184,7 @@
 	})
 }
 
-// ticker repeats something for the rest of the life.
+// ticker calls a function at an interval until the process ends.
 func (p *process) ticker(interval time.Duration, do func()) {
 	var tick func()
 	tick = func() {
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -1,8 +1,8 @@
 // Package sim runs the whole system in virtual time: callers, routers, control replicas, back ends and operators,
-// under faults drawn from a seed, with one oracle that checks what must always hold.
+// under random faults from a seed. An oracle checks the invariants.
 //
-// Routers, control replicas and engines are the pure state machines of the real processes; this package stands in
-// for their sockets, disks, clocks and threads. One seed always gives the same run, event for event.
+// Routers, control replicas and engines are the state machines of the real processes; this package simulates their
+// sockets, disks, clocks and threads. A run is deterministic for its seed.
 package sim
 
 import (
@@ -18,20 +18,20 @@
 
 const (
 	activeTime     = 100 * time.Second // callers, operators and faults are active
-	settleTime     = 25 * time.Second  // faults are healed and everything must come to rest
-	tokensPerBlock = 8                 // tokens of a cache block
+	settleTime     = 25 * time.Second  // faults have ended and the system must converge
+	tokensPerBlock = 8                
 )
 
-// RunLength is the virtual time of one seed.
+// RunLength is the virtual duration of a run.
 const RunLength = activeTime + settleTime
 
-// world is one run.
+// world is the state of one simulation run.
 type world struct {
 	seed   uint64
 	random *rand.Rand
 	guards guard.Set
 	clock  vtime.Clock
-	trace  io.Writer // nil: no trace is written
+	trace  io.Writer // nil: no trace
 	oracle *oracle
 	hasher *prefix.Hasher
 
@@ -46,32 +46,31 @@
 	backends         []*fleetBackend // of the gateway fleet
 	gateways         []*fleetGateway
 	gatewayCount     int
-	relaysWatches    bool // replicas answer gateways for the leader
-	reportsStartTime bool // back ends keep their names and tell when they were started
+	relaysWatches    bool // followers answer gateways for the leader
+	reportsStartTime bool // back ends keep their names and report their start time
 	fleetOperators   []*fleetOperator
 	faults           int
-	limitRandom      *rand.Rand // chances of back ends that name a limit
-	buildRandom      *rand.Rand // chances of control processes that run two builds; nil where all run one
+	limitRandom      *rand.Rand // random source of advertised limits
+	buildRandom      *rand.Rand // random source of mixed builds; nil: all control processes run the same build
 	raised           raisedLevel
-	killedRuns       int // runs that back ends of the fleet took along
+	killedRuns       int // requests that were running on killed back ends of the fleet
 	mischief         pendingFaults
-	history          *History // nil: not recorded
-	onAccept         []func() // run once, at the next accepted change
-	onPublished      []func() // run once, when the next naming of weights is acknowledged
+	history          *History // nil: no history is recorded
+	onAccept         []func() // run once, when the next change is accepted
+	onPublished      []func() // run once, when the next publication of weights is acknowledged
 }
 
-// after schedules something that no process does.
+// after schedules a function that belongs to no process.
 func (w *world) after(delay time.Duration, run func()) { w.clock.After(delay, run) }
 
-// now returns the virtual time.
 func (w *world) now() time.Duration { return w.clock.Now() }
 
-// step runs the next thing and reports whether there was one before the end.
+// step runs the next event. It returns false after a violation or if there is no event before the end.
 func (w *world) step(end time.Duration) bool {
 	return w.oracle.violation == nil && w.clock.Step(end)
 }
 
-// logf writes a line of the trace.
+// logf writes a line to the trace.
 func (w *world) logf(format string, arguments ...any) {
 	if w.trace == nil {
 		return
@@ -81,13 +80,12 @@
 	fmt.Fprintln(w.trace)
 }
 
-// between returns a uniform duration.
+// between returns a random duration, uniform in [low, high).
 func (w *world) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)))
 }
 
-// chance reports true with a probability.
+// chance returns true with the given probability.
 func (w *world) chance(probability float64) bool { return w.random.Float64() < probability }
 
-// pick returns a random element.
 func pick[T any](w *world, list []T) T { return list[w.random.IntN(len(list))] }
