--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// newBuild is what this build's successor will know.
+	// newBuild is the feature level of the next build.
 	newBuild = level.Current + 1
-	// newBuildRatio is how often a start takes the newer of two builds, where both are played.
+	// newBuildRatio is the share of starts with the newer build, in runs with mixed builds.
 	newBuildRatio = 0.7
-	// replaceInterval is how often a control process is ended to come back as one of both builds, beside all faults: several times before a level
-	// comes into force, and after it.
+	// replaceInterval is the interval at which a control process is restarted with a random build, independently of the
+	// faults, so that restarts happen before and after a level comes into force.
 	replaceInterval = 4 * time.Second
-	replaceDelay    = 50 * time.Millisecond // how long that takes; it counts as trouble of control like every other end of one of its processes
+	replaceDelay    = 50 * time.Millisecond // time to restart; it counts as a disturbance of control
 	buildStream     = 18
-	// levelRaiseGrace is how long a build may have run when a level comes into force that it doesn't know: the leader takes a member's word for a second,
-	// and the entry takes a moment.
+	// levelRaiseGrace is how long an older build may have run when a level comes into force that it doesn't support: the
+	// leader relies on a member's announced level for a second, and committing the entry takes time.
 	levelRaiseGrace = 3 * time.Second
 )
 
-// raisedLevel is the level in force, as the first process that holds it sees it.
+// raisedLevel is the feature level in force, as seen by the first process that applied it.
 type raisedLevel struct {
 	level   level.Level
 	at      time.Duration
 	members consensus.Membership
 }
 
-// planBuilds lets control processes run two builds in a quarter of all runs. Its chances are its own, and the other runs tell no level, so that they
-// are as they were without it.
+// planBuilds lets control processes run two builds in a quarter of all runs. It has its own random source, and other runs
+// announce no level, so that they don't change.
 func (w *world) planBuilds() {
 	if w.seed/32%4 != 3 {
 		return
@@ -43,7 +43,7 @@
 	}
 }
 
-// replaceControl ends a control process that comes back as one of both builds.
+// replaceControl restarts a random control process with a random build.
 func (w *world) replaceControl() {
 	n := w.controls[w.buildRandom.IntN(len(w.controls))]
 	if !n.up || n.frozen {
@@ -53,7 +53,7 @@
 	w.restartControl(n, replaceDelay)
 }
 
-// drawBuild returns the build that a control process starts as.
+// drawBuild returns the random build with which a control process starts.
 func (w *world) drawBuild() level.Level {
 	switch {
 	case w.buildRandom == nil:
@@ -64,7 +64,7 @@
 	return level.Current
 }
 
-// restartWithNewBuild lets a control process that is too old for its own files, or for the group, come back as the newer build.
+// restartWithNewBuild restarts a control process that is too old for its data or for the group with the newer build.
 func (n *controlNode) restartWithNewBuild(err error) {
 	if !errors.Is(err, level.ErrTooOld) || n.build == newBuild {
 		n.w.oracle.fail(BuildsKnown, "%s of level %d: %v", n.name, n.build, err)
@@ -77,8 +77,8 @@
 	n.w.restartControl(n, replaceDelay)
 }
 
-// checkBuild checks a control process after its work: it holds nothing that its build doesn't know, and no level comes into force under one that has
-// told a lower one.
+// checkBuild checks that a control process has no state above its build's level, and that no level came into force while
+// a member ran that had announced a lower one.
 func (n *controlNode) checkBuild() {
 	if !n.up {
 		return
--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// fatalDuration is how long a request that ends whoever runs it comes again, at most so often.
+	// fatalDuration is how long a fatal request is repeated; fatalMinInterval and fatalMaxInterval bound its interval.
 	fatalDuration           = 25 * time.Second
 	fatalMinInterval        = 30 * time.Millisecond
 	fatalMaxInterval        = 900 * time.Millisecond
 	quarantineReportTimeout = 20 * time.Second
-	// quarantineContactTime is how long control and a gateway must have been well for what the gateway sends to count, and deadlyMore how many
-	// sends beyond the third life may count.
+	// quarantineContactTime is how long control and a gateway must have been undisturbed for the gateway's sends to count;
+	// maxFatalSends is how many such sends are tolerated after the quarantine threshold.
 	quarantineContactTime = 4 * time.Second
 	maxFatalSends         = 3
-	// hotMinInterval and hotLatest are the pauses between the ends of a request that many callers send at once, at one gateway.
+	// hotMinInterval and hotMaxInterval bound the time between completions of the hot request at one gateway.
 	hotMinInterval = 500 * time.Millisecond
 	hotMaxInterval = 4 * time.Second
 )
 
-// hotRequest ends well wherever it isn't cut off by the end of its back end.
+// hotRequest is a harmless request that many callers send. It completes unless its back end ends.
 var hotRequest = quarantine.Fingerprint{0, 'h', 'o', 't'}
 
-// faultFatalRequest lets a request come again and again that ends each back end that begins to run it.
+// faultFatalRequest repeats a request that crashes each back end that starts to run it.
 func (w *world) faultFatalRequest() {
 	w.oracle.deadlies++
 	f := quarantine.Fingerprint{byte(w.oracle.deadlies), 'd'}
@@ -44,7 +44,7 @@
 	come()
 }
 
-// sendFatal sends a deadly request as a gateway would, to a back end that then ends.
+// sendFatal sends a fatal request as a gateway would, to a back end that then crashes.
 func (g *fleetGateway) sendFatal(f quarantine.Fingerprint) {
 	if !g.hasValidView() || g.w.guards.On(guard.QuarantineCheck) && g.crashes.CrashCount(f) >= quarantine.QuarantineThreshold {
 		return
@@ -52,14 +52,15 @@
 	entry := pick(g.w, g.roster)
 	target := g.w.fleetBackend(entry.Address)
 	if entry.State != catalog.StateReady || entry.Loading || target == nil || !target.up || target.frozen || target.id != entry.ID {
-		return // nothing listens there, or it doesn't run the request
+		return // no server at the address, or it doesn't run the request
 	}
 	g.w.oracle.checkFatalSend(g, f, target.id)
 	g.w.killBackend(target, g.w.chance(0.2), f)
 	g.w.restart(target, g.w.between(300*time.Millisecond, 4*time.Second))
 }
 
-// killBackend ends a back end with everything that runs there: the hot request from some gateways, others of their own, and those given.
+// killBackend kills a back end on which each gateway was running the given requests, one of its own and perhaps the hot
+// request.
 func (w *world) killBackend(b *fleetBackend, silent bool, ran ...quarantine.Fingerprint) {
 	life := b.id
 	b.kill(silent)
@@ -73,7 +74,8 @@
 	}
 }
 
-// recordBrokenRuns notes runs that broke off, and looks whether their back end has ended: an address of a machine without power says nothing.
+// recordBrokenRuns records runs that broke off and checks whether their back end has ended. This can't be determined if the
+// machine lost power or is partitioned.
 func (g *fleetGateway) recordBrokenRuns(b *fleetBackend, life string, silent bool, runs []quarantine.Fingerprint) {
 	for _, f := range runs {
 		if told, counts := g.crashes.RecordFailure(g.clock(), life, f); counts {
@@ -90,7 +92,7 @@
 	})
 }
 
-// confirmEnd notes the proof that a life ended.
+// confirmEnd records that an incarnation has ended for certain.
 func (g *fleetGateway) confirmEnd(life string) {
 	if told, counts := g.crashes.ConfirmEnd(g.clock(), life); counts {
 		g.reportCrash(told)
@@ -101,7 +103,7 @@
 	g.proposeQuarantineChange(quarantine.Change{Crashes: []quarantine.Crash{told}})
 }
 
-// proposeQuarantineChange has control make a change, as a gateway's thread does.
+// proposeQuarantineChange sends a change of the crash registry to control.
 func (g *fleetGateway) proposeQuarantineChange(change quarantine.Change) {
 	request := control.Request{Catalog: &catalog.Command{Quarantine: &change}}
 	record := g.crashes
@@ -118,7 +120,7 @@
 	}
 }
 
-// applyQuarantineUpdate takes up what control tells of ended back ends.
+// applyQuarantineUpdate applies control's crash counts and confirms the end of incarnations that the roster replaced.
 func (g *fleetGateway) applyQuarantineUpdate(reply *control.WatchReply, before []control.RosterEntry) {
 	if reply.Quarantine != nil {
 		g.release(g.crashes.ApplyUpdate(g.clock(), reply.Quarantine)...)
@@ -135,28 +137,28 @@
 	g.crashes.Sweep(g.clock())
 }
 
-// completeHotRequest ends one run of the hot request well, and looks whether it is held back.
+// completeHotRequest completes a run of the hot request and checks that it isn't quarantined.
 func (g *fleetGateway) completeHotRequest() {
 	g.after(g.w.between(hotMinInterval, hotMaxInterval), g.completeHotRequest)
 	if !g.hasValidView() {
 		return
 	}
 	if g.w.guards.On(guard.QuarantineCheck) && g.crashes.CrashCount(hotRequest) >= quarantine.QuarantineThreshold {
-		g.w.oracle.fail(HeldBackTrue, "%s holds a request back that ends well, for %d lives", g.process.name, g.crashes.CrashCount(hotRequest))
+		g.w.oracle.fail(HeldBackTrue, "%s quarantines a request that completes, for %d crashes", g.process.name, g.crashes.CrashCount(hotRequest))
 	}
 	if g.crashes.RecordCompletion(g.clock(), hotRequest) {
 		g.release(hotRequest)
 	}
 }
 
-// fatalRequest is what the oracle knows of a request that ends whoever runs it.
+// fatalRequest is the oracle's record of a fatal request.
 type fatalRequest struct {
-	crashes     int           // lives
-	thresholdAt time.Duration // when the last life ended that a request may end before it is held back
-	excessSends int           // sends that count against it
+	crashes     int           // back ends that it crashed
+	thresholdAt time.Duration // when the crashes reached the quarantine threshold
+	excessSends int           // counted sends after the threshold
 }
 
-// checkFatalSend checks a send of a deadly request.
+// checkFatalSend records the send of a fatal request and checks that a quarantined one isn't sent.
 func (o *oracle) checkFatalSend(g *fleetGateway, f quarantine.Fingerprint, life string) {
 	d := o.deadly[f]
 	if d == nil {
@@ -167,7 +169,7 @@
 	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thresholdAt)+quarantineContactTime
 	if d.crashes >= quarantine.QuarantineThreshold && well {
 		if d.excessSends++; d.excessSends > maxFatalSends {
-			o.fail(HeldBackTrue, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.crashes, now-d.thresholdAt)
+			o.fail(HeldBackTrue, "%s sent a request to %s that had crashed %d back ends; it reached the quarantine threshold %v ago", g.process.name, life, d.crashes, now-d.thresholdAt)
 		}
 	}
 	if d.crashes++; d.crashes == quarantine.QuarantineThreshold {
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	// limitGrace is how long after it was first named it must hold, and namedHeard how long after a process heard of it what that one sends counts.
+	// limitGrace is how long after a limit is first advertised it may be exceeded; limitLearnDelay is how long after a
+	// process learned of it the requests of that process aren't counted.
 	limitGrace      = 3 * time.Second
 	limitLearnDelay = 500 * time.Millisecond
-	// limitChangeGrace is how long a limit from before may still count that has changed.
+	// limitChangeGrace is how long the previous limit may still apply after a change.
 	limitChangeGrace = time.Second
-	// maxLimitPeriods bounds how often back ends are in need in one run; needAllShare is how often all of them are together, and needChangeShare how
-	// often the limit changes meanwhile.
+	// maxLimitPeriods bounds the limit periods of a run. allLimitedRatio is the share that affects all back ends, and
+	// limitChangeRatio the share in which the limit changes halfway.
 	maxLimitPeriods  = 3
 	allLimitedRatio  = 0.4
 	limitChangeRatio = 0.5
 	limitStream      = 17
 )
 
-// limitPeriod is a time in which a back end names a limit. Its zero value is none.
+// limitPeriod is a period in which a back end advertises a limit. The zero value is empty.
 type limitPeriod struct {
 	from, until time.Duration
-	rate, later float64 // requests a second, from the start and from half of the time on
+	rate, later float64 // requests per second in the first and second half
 }
 
-// limit returns what the back end names now.
+// limit returns the limit that the back end advertises now.
 func (n limitPeriod) limit(now time.Duration) pushback.Limit {
 	switch {
 	case now < n.from || now >= n.until:
@@ -46,7 +47,7 @@
 	return pushback.Limit{Advertised: true, Rate: n.later}
 }
 
-// highest returns the highest limit that was named between two times.
+// highest returns the highest limit that was advertised between two times.
 func (n limitPeriod) highest(from, to time.Duration) float64 {
 	half := (n.from + n.until) / 2
 	switch {
@@ -58,7 +59,8 @@
 	return max(n.rate, n.later)
 }
 
-// planAdvertisedLimits lets back ends be in need in half of all runs. Its chances are its own, so that the other runs are as they were without it.
+// planAdvertisedLimits schedules limit periods in half of all runs. It has its own random source, so that other runs don't
+// change.
 func (w *world) planAdvertisedLimits() {
 	w.limitRandom = rand.New(rand.NewPCG(w.seed, limitStream))
 	if w.seed/4%2 == 0 {
@@ -70,7 +72,7 @@
 	}
 }
 
-// advertiseLimit lets one engine and one back end of the fleet, or all of them, name a limit for a while.
+// advertiseLimit makes one engine and one back end of the fleet, or all of them, advertise a limit for a while.
 func (w *world) advertiseLimit() {
 	now := w.now()
 	period := limitPeriod{from: now, until: now + 6*time.Second + time.Duration(w.limitRandom.Int64N(int64(14*time.Second))), rate: 6 * w.limitRandom.Float64()}
@@ -93,13 +95,14 @@
 	}
 }
 
-// limitedIncarnation is what was sent to one life of a back end in one time of need, by processes that had heard of it.
+// limitedIncarnation records the requests that one incarnation of a back end got in one limit period from processes that
+// knew the limit.
 type limitedIncarnation struct {
-	learnedAt map[string]time.Duration // when each process first heard of it
-	sends     []time.Duration          // rising
+	learnedAt map[string]time.Duration // when each process first learned of the limit
+	sends     []time.Duration          // in ascending order
 }
 
-// limitOracle is what back ends in need got. Its keys name a life and the start of its need.
+// limitOracle records requests by incarnation and start of its limit period.
 type limitOracle map[string]*limitedIncarnation
 
 func (l limitOracle) of(life string, n limitPeriod) *limitedIncarnation {
@@ -110,7 +113,7 @@
 	return l[key]
 }
 
-// recordLimit notes that a process has an answer in which a back end names its limit.
+// recordLimit records that a process got a response in which a back end advertises its limit.
 func (o *oracle) recordLimit(p senderBackend, n limitPeriod) {
 	life := o.limits.of(p.backend, n)
 	if _, known := life.learnedAt[p.sender]; !known {
@@ -118,7 +121,7 @@
 	}
 }
 
-// checkLimitedSend checks a request at the moment it is sent to a back end.
+// checkLimitedSend checks a request against the limit when it is sent to a back end.
 func (o *oracle) checkLimitedSend(p senderBackend, n limitPeriod) {
 	now := o.w.now()
 	if !n.limit(now).Advertised {
@@ -131,11 +134,12 @@
 	life.sends = window.Add(life.sends, now)
 	allowed := window.Allowed(n.highest(now-window.Length-limitChangeGrace, now))
 	if now >= n.from+limitGrace && float64(len(life.sends)) > allowed {
-		o.fail(LimitKept, "%s got %d requests in %v from processes that had heard its limit, %.1f allowed, the last from %s", p.backend, len(life.sends), window.Length, allowed, p.sender)
+		o.fail(LimitKept, "%s got %d requests in %v from processes that knew its limit, %.1f allowed, the last from %s", p.backend, len(life.sends), window.Length, allowed, p.sender)
 	}
 }
 
-// hasLease reports whether a gateway may send to a back end now for the limit that this names; else it asks for a part of it, and sends then.
+// hasLease reports whether a gateway may send to a back end within its advertised limit now. If not, it requests a lease
+// and sends the request when it gets one.
 func (g *fleetGateway) hasLease(entry control.RosterEntry) bool {
 	limit, heard := g.signals.LimitObservedAt(catalog.ParseInstanceID(entry.ID))
 	if !limit.Advertised || !g.w.guards.On(guard.AdvertisedLimitCheck) {
@@ -153,7 +157,7 @@
 	return false
 }
 
-// requestLease asks the leader for a part of a back end's limit, and sends there if there is one.
+// requestLease requests a lease on a back end's limit from the leader and sends the request if it gets one.
 func (g *fleetGateway) requestLease(entry control.RosterEntry, demands []allowance.Demand) {
 	asked := g.clock()
 	request := g.leases.NewRequest(asked, demands)
@@ -173,5 +177,5 @@
 	})
 }
 
-// leaseTimeout is how long a gateway waits for the lender.
+// leaseTimeout is how long a gateway waits for the reply to a lease request.
 const leaseTimeout = 150 * time.Millisecond
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// oldWeightsStartLimit is how long after newer weights were named a request may begin on older ones.
+	// oldWeightsStartLimit is how long after a newer version is published a request may start on older weights.
 	oldWeightsStartLimit = 4 * time.Second
-	// clockSlack is what clocks cost: leader and gateway count the limit by clocks that run up to clockSkew slow.
+	// clockSlack allows for the clocks of leader and gateway, which run up to clockSkew slow.
 	clockSlack = oldWeightsStartLimit / 19 // 0.05 / 0.95
-	// wallClockRounding is what times of day in whole milliseconds cost, at the proposer and at the leader.
+	// wallClockRounding allows for wall-clock times in whole milliseconds, at the proposer and at the leader.
 	wallClockRounding = 2 * time.Millisecond
 )
 
-// publication is a version that an operator names.
+// publication is a version of weights that an operator publishes.
 type publication struct {
 	acked   bool
 	ackedAt time.Duration
-	// maxSkew is how far any replica's time of day was ahead while it may have been proposed, minSkew how far behind since. A leader that
-	// didn't see the naming takes it to be younger by as much as its clock is behind the proposer's.
+	// maxSkew is the highest wall-clock skew of any replica until the acknowledgement, minSkew the lowest so far. A leader
+	// that didn't see the publication underestimates its age by the difference between the proposer's clock and its own.
 	maxSkew, minSkew time.Duration
 }
 
-// startsTooLate reports whether no request may begin on a back end's weights any more. It sends none where it doesn't know them.
+// startsTooLate reports whether requests may no longer start on a back end's weights, or its weights are unknown.
 func (g *fleetGateway) startsTooLate(entry control.RosterEntry) bool {
 	held, known := entry.Versions[fleetModel]
 	namedAt, lacks := g.publishTimes.OldestMissing(fleetModel, held)
 	return !known || lacks && g.clock() >= namedAt+oldWeightsStartLimit
 }
 
-// startRequest begins a request that names the weights it counts on, unless the back end refuses it.
+// startRequest sends a request that names the expected weights. The back end may reject it.
 func (g *fleetGateway) startRequest(entry control.RosterEntry) {
 	b := g.w.fleetBackend(entry.Address)
 	if b == nil || !b.up || b.frozen {
@@ -41,7 +41,7 @@
 	g.w.oracle.checkLimitedSend(pairOf(g.process, b.id), b.advertised)
 	asked := g.clock()
 	if !b.matchesID(entry.ID) {
-		return // it refuses for that alone, and wants no rest for it
+		return // rejected for its instance ID; that isn't a request to back off
 	}
 	refused := g.observeResponse(asked, entry, b) || b.version != entry.Versions[fleetModel] || g.w.now() < b.loadingUntil
 	if !refused {
@@ -49,14 +49,14 @@
 	}
 }
 
-// recordPublishSent notes that a version is about to be named.
+// recordPublishSent records that a version is about to be published.
 func (o *oracle) recordPublishSent(version uint64) {
 	o.fleet.lastPublishedSent = version
 	o.fleet.publications[version] = &publication{maxSkew: o.w.controls[0].wallSkew, minSkew: o.w.controls[0].wallSkew}
 	o.updateWallSkews()
 }
 
-// recordPublishAck notes that an operator was told that a version is named.
+// recordPublishAck records that a publication was acknowledged to an operator.
 func (o *oracle) recordPublishAck(version uint64) {
 	naming := o.fleet.publications[version]
 	naming.acked, naming.ackedAt = true, o.w.now()
@@ -68,7 +68,7 @@
 	}
 }
 
-// updateWallSkews takes up the replicas' times of day.
+// updateWallSkews updates the range of skews of every publication.
 func (o *oracle) updateWallSkews() {
 	for _, naming := range o.fleet.publications {
 		for _, n := range o.w.controls {
@@ -80,7 +80,7 @@
 	}
 }
 
-// recordPublicationsSeen notes when a gateway first heard of each naming, in its current life.
+// recordPublicationsSeen records when a gateway's incarnation first received each publication.
 func (o *oracle) recordPublicationsSeen(gateway string, wanted []control.WeightsPublication) {
 	for _, w := range wanted {
 		if _, told := o.fleet.publicationSeenAt[gateway][w.Version]; !told {
@@ -89,8 +89,8 @@
 	}
 }
 
-// checkRequestStart checks that a request begins in time: within the limit after a newer version was acknowledged, give or take what clocks
-// cost, and, whatever times of day did, within the limit after this gateway first heard of one.
+// checkRequestStart checks that a request starts on older weights only within the limit after a newer version was
+// acknowledged, allowing for clock errors, and after this gateway first received it, whatever the wall clocks did.
 func (o *oracle) checkRequestStart(gateway string, b *fleetBackend) {
 	now := o.w.now()
 	for version, naming := range o.fleet.publications {
@@ -99,17 +99,17 @@
 		}
 		day := naming.maxSkew - naming.minSkew + wallClockRounding
 		if late := now - naming.ackedAt - oldWeightsStartLimit - clockSlack - day; naming.acked && late > 0 {
-			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-naming.ackedAt, version)
+			o.fail(WeightsInTime, "%s starts a request on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-naming.ackedAt, version)
 		}
 		heard, told := o.fleet.publicationSeenAt[gateway][version]
 		if late := now - heard - oldWeightsStartLimit - clockSlack; told && late > 0 {
-			o.fail(WeightsInTime, "%s begins on weights %d of %s %v after it heard of %d", gateway, b.version, b.id, now-heard, version)
+			o.fail(WeightsInTime, "%s starts a request on weights %d of %s %v after it received %d", gateway, b.version, b.id, now-heard, version)
 		}
 	}
 }
 
-// faultLateLeader lets a replica lead that didn't see a version named as it happened: one that starts again, or was cut off or frozen
-// meanwhile. Some replicas' times of day are set back, and some gateways start again.
+// faultLateLeader makes a replica leader that missed the publication of a version: it restarted, or was partitioned or
+// frozen meanwhile. Some replicas' wall clocks are set back, and some gateways restart.
 func (w *world) faultLateLeader() {
 	leader, late := w.leader(), pick(w, w.controls)
 	away := w.between(1500*time.Millisecond, 4*time.Second)
@@ -142,7 +142,7 @@
 	}
 }
 
-// restartReplica ends a replica, which starts again soon, some with their time of day set back.
+// restartReplica kills and restarts a replica, sometimes with its wall clock set back.
 func (w *world) restartReplica(n *controlNode) {
 	n.die(w.chance(0.5))
 	if w.chance(0.3) {
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// backoffGrace is how long after its wish for rest a back end may get requests that were on their way, and restMost how many more until the
-	// rest ends.
+	// backoffGrace is how long after asking for backoff a back end may get requests that were in flight;
+	// maxBackoffRequests is how many more it may get until the backoff ends.
 	backoffGrace       = 500 * time.Millisecond
 	maxBackoffRequests = 2
-	// drainGrace is how long after a back end said in an answer that it leaves it may get what was on its way.
+	// drainGrace is how long after reporting that it drains a back end may get requests that were in flight.
 	drainGrace = 500 * time.Millisecond
-	// rejectAllRatio is the share of faults in which all back ends of a service turn requests away together.
+	// rejectAllRatio is the share of faults in which all back ends reject requests together.
 	rejectAllRatio = 0.3
 )
 
-// rejection is a back end's refusal of all that comes, with a wish for rest.
+// rejection makes a back end reject all requests and ask for backoff until a time.
 type rejection struct {
 	until   time.Duration
 	backoff time.Duration
 }
 
-// faultRejectRequests lets back ends turn requests away for a while and ask for rest.
+// faultRejectRequests makes back ends reject requests and ask for backoff for a while.
 func (w *world) faultRejectRequests() {
 	until, rest := w.now()+w.between(time.Second, 6*time.Second), w.between(time.Second, 5*time.Second)
 	all := w.chance(rejectAllRatio)
@@ -44,7 +44,7 @@
 	}
 }
 
-// requestedBackoff returns for how long a back end wants rest, or 0 when it takes requests.
+// requestedBackoff returns the backoff that a back end asks for, or 0 if it accepts requests.
 func (s rejection) requestedBackoff(now time.Duration) time.Duration {
 	if now < s.until {
 		return s.backoff
@@ -52,30 +52,31 @@
 	return 0
 }
 
-// senderBackend is one life of a process that sends and one life of a back end.
+// senderBackend is an incarnation of a sender and an incarnation of a back end.
 type senderBackend struct{ sender, backend string }
 
 func pairOf(sender *process, backend string) senderBackend {
 	return senderBackend{fmt.Sprintf("%s#%d", sender.name, sender.generation), backend}
 }
 
-// backoffWindow is the part of one rest in which requests count.
+// backoffWindow is the part of a backoff in which requests are counted.
 type backoffWindow struct {
 	from, until time.Duration
 	requests    int
 }
 
-// signalOracle is what back ends were heard to say of themselves.
+// signalOracle records the signals that senders received from back ends.
 type signalOracle struct {
 	backoffs      map[senderBackend][]*backoffWindow
-	drainingSince map[senderBackend]time.Duration // when it was first heard that the back end leaves
+	drainingSince map[senderBackend]time.Duration // when the sender first learned of it
 }
 
 func newSignalOracle() signalOracle {
 	return signalOracle{backoffs: map[senderBackend][]*backoffWindow{}, drainingSince: map[senderBackend]time.Duration{}}
 }
 
-// recordSignals notes that a process has an answer in which a back end speaks of itself. Its clock may run fast.
+// recordSignals records the signals in a response that a process received. The backoff is shortened by clockSkew, as the
+// process's clock may run fast.
 func (o *oracle) recordSignals(p senderBackend, said pushback.Signals) {
 	now := o.w.now()
 	if said.Backoff > 0 {
@@ -87,7 +88,7 @@
 	}
 }
 
-// checkSend checks a request at the moment it is sent.
+// checkSend checks a request against the received signals when it is sent.
 func (o *oracle) checkSend(p senderBackend) {
 	now := o.w.now()
 	for _, window := range o.said.backoffs[p] {
@@ -95,22 +96,22 @@
 			continue
 		}
 		if window.requests++; window.requests > maxBackoffRequests {
-			o.fail(RestGiven, "%s sent %s %d requests in a rest that ends in %v", p.sender, p.backend, window.requests, window.until-now)
+			o.fail(RestGiven, "%s sent %s %d requests in a backoff that ends in %v", p.sender, p.backend, window.requests, window.until-now)
 		}
 	}
 	if at, left := o.said.drainingSince[p]; left && now > at+drainGrace {
-		o.fail(LeavingNoWork, "%s sent new work to %s %v after that one had said that it leaves", p.sender, p.backend, now-at)
+		o.fail(LeavingNoWork, "%s sent a new request to %s %v after that one had reported that it drains", p.sender, p.backend, now-at)
 	}
 }
 
-// isRestricted reports whether the back end itself wants no request from this gateway.
+// isRestricted reports whether the back end asked this gateway for backoff or reported that it drains.
 func (g *fleetGateway) isRestricted(entry control.RosterEntry) bool {
 	restriction, now := g.signals.Restriction(g.clock(), catalog.ParseInstanceID(entry.ID)), g.clock()
 	return restriction.IsBackingOff(now) && g.w.guards.On(guard.BackoffCheck) || restriction.Draining && g.w.guards.On(guard.LeavingSelfReported)
 }
 
-// observeResponse takes up what a back end says of itself in the answer to a request that was sent at a time. The gateway knows only whom it meant to ask,
-// not which life answered.
+// observeResponse records a back end's signals in the response to a request. The gateway attributes them to the
+// incarnation that it meant to call; it doesn't know which one responded.
 func (g *fleetGateway) observeResponse(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (rejected bool) {
 	signals := pushback.Signals{Backoff: b.rejecting.requestedBackoff(g.w.now()), Draining: b.draining, Limit: b.advertised.limit(g.w.now())}
 	g.w.oracle.recordSignals(pairOf(g.process, b.id), signals)
@@ -123,5 +124,5 @@
 	return signals.Backoff > 0
 }
 
-// today is the time of day by which back ends tell when they were started.
+// today returns the wall-clock time by which back ends report their start time.
 func (w *world) today() time.Time { return time.UnixMilli(1 + w.now().Milliseconds()) }
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -19,7 +19,7 @@
 const (
 	activeTime     = 100 * time.Second // callers, operators and faults are active
 	settleTime     = 25 * time.Second  // faults have ended and the system must converge
-	tokensPerBlock = 8                
+	tokensPerBlock = 8
 )
 
 // RunLength is the virtual duration of a run.
