--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -78,8 +78,8 @@
 // machine lost power or is partitioned.
 func (g *fleetGateway) recordBrokenRuns(b *fleetBackend, life string, silent bool, runs []quarantine.Fingerprint) {
 	for _, f := range runs {
-		if told, counts := g.crashes.RecordFailure(g.clock(), life, f); counts {
-			g.reportCrash(told)
+		if crash, counts := g.crashes.RecordFailure(g.clock(), life, f); counts {
+			g.reportCrash(crash)
 		}
 	}
 	if silent || g.w.isPartitioned(g.process, b.process) {
