--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -94,8 +94,8 @@
 
 // confirmEnd records that an incarnation has ended for certain.
 func (g *fleetGateway) confirmEnd(life string) {
-	if told, counts := g.crashes.ConfirmEnd(g.clock(), life); counts {
-		g.reportCrash(told)
+	if crash, counts := g.crashes.ConfirmEnd(g.clock(), life); counts {
+		g.reportCrash(crash)
 	}
 }
 
