--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -99,8 +99,8 @@
 	}
 }
 
-func (g *fleetGateway) reportCrash(told quarantine.Crash) {
-	g.proposeQuarantineChange(quarantine.Change{Crashes: []quarantine.Crash{told}})
+func (g *fleetGateway) reportCrash(crash quarantine.Crash) {
+	g.proposeQuarantineChange(quarantine.Change{Crashes: []quarantine.Crash{crash}})
 }
 
 // proposeQuarantineChange sends a change of the crash registry to control.
