--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -62,7 +62,7 @@
 // killBackend kills a back end on which each gateway was running the given requests, one of its own and perhaps the hot
 // request.
 func (w *world) killBackend(b *fleetBackend, silent bool, ran ...quarantine.Fingerprint) {
-	life := b.id
+	incarnation := b.id
 	b.kill(silent)
 	for _, g := range w.gateways {
 		w.killedRuns++
@@ -70,7 +70,7 @@
 		if w.chance(0.5) {
 			runs = append(runs, hotRequest)
 		}
-		g.after(w.between(time.Millisecond, 5*time.Millisecond), func() { g.recordBrokenRuns(b, life, silent, runs) })
+		g.after(w.between(time.Millisecond, 5*time.Millisecond), func() { g.recordBrokenRuns(b, incarnation, silent, runs) })
 	}
 }
 
