--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -76,9 +76,9 @@
 
 // recordBrokenRuns records runs that broke off and checks whether their back end has ended. This can't be determined if the
 // machine lost power or is partitioned.
-func (g *fleetGateway) recordBrokenRuns(b *fleetBackend, life string, silent bool, runs []quarantine.Fingerprint) {
+func (g *fleetGateway) recordBrokenRuns(b *fleetBackend, incarnation string, silent bool, runs []quarantine.Fingerprint) {
 	for _, f := range runs {
-		if crash, counts := g.crashes.RecordFailure(g.clock(), life, f); counts {
+		if crash, counts := g.crashes.RecordFailure(g.clock(), incarnation, f); counts {
 			g.reportCrash(crash)
 		}
 	}
@@ -87,7 +87,7 @@
 	}
 	g.after(g.w.between(time.Millisecond, 6*time.Millisecond), func() {
 		if !b.up {
-			g.confirmEnd(life)
+			g.confirmEnd(incarnation)
 		}
 	})
 }
