--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -93,8 +93,8 @@
 }
 
 // confirmEnd records that an incarnation has ended for certain.
-func (g *fleetGateway) confirmEnd(life string) {
-	if crash, counts := g.crashes.ConfirmEnd(g.clock(), life); counts {
+func (g *fleetGateway) confirmEnd(incarnation string) {
+	if crash, counts := g.crashes.ConfirmEnd(g.clock(), incarnation); counts {
 		g.reportCrash(crash)
 	}
 }
