--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -159,7 +159,7 @@
 }
 
 // checkFatalSend records the send of a fatal request and checks that a quarantined one isn't sent.
-func (o *oracle) checkFatalSend(g *fleetGateway, f quarantine.Fingerprint, life string) {
+func (o *oracle) checkFatalSend(g *fleetGateway, f quarantine.Fingerprint, incarnation string) {
 	d := o.deadly[f]
 	if d == nil {
 		d = &fatalRequest{}
@@ -169,7 +169,7 @@
 	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thresholdAt)+quarantineContactTime
 	if d.crashes >= quarantine.QuarantineThreshold && well {
 		if d.excessSends++; d.excessSends > maxFatalSends {
-			o.fail(HeldBackTrue, "%s sent a request to %s that had crashed %d back ends; it reached the quarantine threshold %v ago", g.process.name, life, d.crashes, now-d.thresholdAt)
+			o.fail(HeldBackTrue, "%s sent a request to %s that had crashed %d back ends; it reached the quarantine threshold %v ago", g.process.name, incarnation, d.crashes, now-d.thresholdAt)
 		}
 	}
 	if d.crashes++; d.crashes == quarantine.QuarantineThreshold {
