--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -32,16 +32,16 @@
 	w.oracle.deadlies++
 	f := quarantine.Fingerprint{byte(w.oracle.deadlies), 'd'}
 	until := min(w.now()+fatalDuration, activeTime)
-	var come func()
-	come = func() {
+	var repeat func()
+	repeat = func() {
 		if w.now() > until {
 			return
 		}
 		g := pick(w, w.gateways)
 		g.run(g.generation, func() { g.sendFatal(f) })
-		w.after(w.between(fatalMinInterval, fatalMaxInterval), come)
+		w.after(w.between(fatalMinInterval, fatalMaxInterval), repeat)
 	}
-	come()
+	repeat()
 }
 
 // sendFatal sends a fatal request as a gateway would, to a back end that then crashes.
