--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -29,8 +29,8 @@
 
 // faultFatalRequest repeats a request that crashes each back end that starts to run it.
 func (w *world) faultFatalRequest() {
-	w.oracle.deadlies++
-	f := quarantine.Fingerprint{byte(w.oracle.deadlies), 'd'}
+	w.oracle.fatalRequests++
+	f := quarantine.Fingerprint{byte(w.oracle.fatalRequests), 'd'}
 	until := min(w.now()+fatalDuration, activeTime)
 	var repeat func()
 	repeat = func() {
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -89,20 +89,20 @@
 	changes   int
 	accepted  int
 
-	runs         map[string]int // by key
-	notRunSends  map[*exchange]bool
-	outcomes     map[string]settings.Outcome // first outcome told, by operation id
-	versions     map[uint64]string           // operation id by accepted version
-	acknowledged uint64                      // highest version anybody was told of
-	inForce      uint64                      // highest version said to be in force
-	routerUsed   map[string]uint64           // newest version a router decided by
-	firstAccept  time.Duration               // when the first change was accepted
-	controlFault time.Duration               // end of the newest fault that may have stopped control
-	fleet        fleetOracle
-	said         signalOracle
-	limits       limitOracle
-	deadly       map[quarantine.Fingerprint]*fatalRequest
-	deadlies     int
+	runs          map[string]int // by key
+	notRunSends   map[*exchange]bool
+	outcomes      map[string]settings.Outcome // first outcome told, by operation id
+	versions      map[uint64]string           // operation id by accepted version
+	acknowledged  uint64                      // highest version anybody was told of
+	inForce       uint64                      // highest version said to be in force
+	routerUsed    map[string]uint64           // newest version a router decided by
+	firstAccept   time.Duration               // when the first change was accepted
+	controlFault  time.Duration               // end of the newest fault that may have stopped control
+	fleet         fleetOracle
+	said          signalOracle
+	limits        limitOracle
+	deadly        map[quarantine.Fingerprint]*fatalRequest
+	fatalRequests int
 }
 
 func newOracle(w *world) *oracle {
