--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -157,9 +157,9 @@
 
 // after sets a timer of the current generation. It doesn't advance while the machine is suspended.
 func (p *process) after(delay time.Duration, do func()) {
-	life, lost, armed := p.generation, p.suspendedFor, p.w.now()
+	generation, lost, armed := p.generation, p.suspendedFor, p.w.now()
 	p.w.after(delay, func() {
-		p.run(life, func() {
+		p.run(generation, func() {
 			if left := delay - (p.w.now() - armed - (p.suspendedFor - lost)); left > 0 {
 				p.after(left, do)
 				return
