--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -145,11 +145,11 @@
 }
 
 // run calls a function now, or once the process is resumed. It does nothing if the generation is no longer current.
-func (p *process) run(life int, do func()) {
+func (p *process) run(generation int, do func()) {
 	switch {
-	case !p.up || p.generation != life:
+	case !p.up || p.generation != generation:
 	case p.frozen:
-		p.backlog = append(p.backlog, func() { p.run(life, do) })
+		p.backlog = append(p.backlog, func() { p.run(generation, do) })
 	default:
 		do()
 	}
