--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -138,9 +138,9 @@
 	p.w.logf("%s resumes with %d queued events", p.name, len(p.backlog))
 	waiting := p.backlog
 	p.backlog = nil
-	life := p.generation
+	generation := p.generation
 	for _, run := range waiting {
-		p.run(life, run)
+		p.run(generation, run)
 	}
 }
 
