--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -176,9 +176,9 @@
 	}
 	p.freeze()
 	p.suspendedAt = p.w.now()
-	life := p.generation
+	generation := p.generation
 	p.w.after(length, func() {
-		if p.generation == life {
+		if p.generation == generation {
 			p.resume()
 		}
 	})
