--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -53,8 +53,8 @@
 		if w.lost(from, to) {
 			continue
 		}
-		life := to.generation
-		w.after(w.latency(from, to), func() { to.run(life, arrive) })
+		generation := to.generation
+		w.after(w.latency(from, to), func() { to.run(generation, arrive) })
 	}
 }
 
