--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -80,9 +80,9 @@
 		return
 	}
 	to.trackConnection(c)
-	life := to.generation
+	generation := to.generation
 	w.after(w.latency(from, to), func() {
-		to.run(life, func() { serve(c.respond) })
+		to.run(generation, func() { serve(c.respond) })
 	})
 }
 
