--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -61,16 +61,16 @@
 // call is a request with one reply. Exactly one of the reply's function and failed runs at the caller, unless the caller
 // ends first. The argument of failed reports whether the callee provably didn't receive the request.
 type call struct {
-	w        *world
-	from, to *process
-	fromLife int
-	settled  bool
-	failed   func(notSent bool)
+	w              *world
+	from, to       *process
+	fromGeneration int
+	settled        bool
+	failed         func(notSent bool)
 }
 
 // call sends a request. serve runs at the callee and replies through respond.
 func (w *world) call(from, to *process, timeout time.Duration, serve func(respond func(answer func())), failed func(refused bool)) {
-	c := &call{w: w, from: from, to: to, fromLife: from.generation, failed: failed}
+	c := &call{w: w, from: from, to: to, fromGeneration: from.generation, failed: failed}
 	if !to.up {
 		w.after(refusalDelay, func() { c.fail(true) })
 		return
@@ -95,7 +95,7 @@
 		return
 	}
 	c.settled = true
-	c.from.run(c.fromLife, func() { c.failed(refused) })
+	c.from.run(c.fromGeneration, func() { c.failed(refused) })
 }
 
 func (c *call) respond(answer func()) {
@@ -107,7 +107,7 @@
 			return
 		}
 		c.settled = true
-		c.from.run(c.fromLife, answer)
+		c.from.run(c.fromGeneration, answer)
 	})
 }
 
