--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -66,7 +66,7 @@
 		return
 	}
 	s.over = true
-	s.router.run(s.stream.toLife, func() { s.router.attemptEvent(s, core.EventAttempt{Kind: core.AttemptBroken}) })
+	s.router.run(s.stream.toGeneration, func() { s.router.attemptEvent(s, core.EventAttempt{Kind: core.AttemptBroken}) })
 }
 
 // boot starts a life with an empty cache.
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -113,17 +113,17 @@
 
 // stream is an ordered connection. As with TCP, messages wait while a partition separates the zones.
 type stream struct {
-	w           *world
-	from, to    *process
-	toLife      int
-	fromLife    int
-	unsent      []func()
-	lastArrival time.Duration
-	closed      bool
+	w            *world
+	from, to     *process
+	toGeneration int
+	fromLife     int
+	unsent       []func()
+	lastArrival  time.Duration
+	closed       bool
 }
 
 func (w *world) newStream(from, to *process) *stream {
-	return &stream{w: w, from: from, to: to, toLife: to.generation, fromLife: from.generation}
+	return &stream{w: w, from: from, to: to, toGeneration: to.generation, fromLife: from.generation}
 }
 
 func (s *stream) send(arrive func()) {
@@ -143,7 +143,7 @@
 		s.lastArrival = at
 		s.w.after(at-s.w.now(), func() {
 			if !s.closed {
-				s.to.run(s.toLife, arrive)
+				s.to.run(s.toGeneration, arrive)
 			}
 		})
 	}
