--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -105,8 +105,8 @@
 // limitOracle records requests by incarnation and start of its limit period.
 type limitOracle map[string]*limitedIncarnation
 
-func (l limitOracle) of(life string, n limitPeriod) *limitedIncarnation {
-	key := fmt.Sprint(life, n.from)
+func (l limitOracle) of(incarnation string, n limitPeriod) *limitedIncarnation {
+	key := fmt.Sprint(incarnation, n.from)
 	if l[key] == nil {
 		l[key] = &limitedIncarnation{learnedAt: map[string]time.Duration{}}
 	}
