--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -115,9 +115,9 @@
 
 // recordLimit records that a process got a response in which a back end advertises its limit.
 func (o *oracle) recordLimit(p senderBackend, n limitPeriod) {
-	life := o.limits.of(p.backend, n)
-	if _, known := life.learnedAt[p.sender]; !known {
-		life.learnedAt[p.sender] = o.w.now()
+	incarnation := o.limits.of(p.backend, n)
+	if _, known := incarnation.learnedAt[p.sender]; !known {
+		incarnation.learnedAt[p.sender] = o.w.now()
 	}
 }
 
