--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -127,14 +127,14 @@
 	if !n.limit(now).Advertised {
 		return
 	}
-	life := o.limits.of(p.backend, n)
-	if heard, known := life.learnedAt[p.sender]; !known || now < heard+limitLearnDelay {
+	incarnation := o.limits.of(p.backend, n)
+	if heard, known := incarnation.learnedAt[p.sender]; !known || now < heard+limitLearnDelay {
 		return
 	}
-	life.sends = window.Add(life.sends, now)
+	incarnation.sends = window.Add(incarnation.sends, now)
 	allowed := window.Allowed(n.highest(now-window.Length-limitChangeGrace, now))
-	if now >= n.from+limitGrace && float64(len(life.sends)) > allowed {
-		o.fail(LimitKept, "%s got %d requests in %v from processes that knew its limit, %.1f allowed, the last from %s", p.backend, len(life.sends), window.Length, allowed, p.sender)
+	if now >= n.from+limitGrace && float64(len(incarnation.sends)) > allowed {
+		o.fail(LimitKept, "%s got %d requests in %v from processes that knew its limit, %.1f allowed, the last from %s", p.backend, len(incarnation.sends), window.Length, allowed, p.sender)
 	}
 }
 
