--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -166,8 +166,8 @@
 // beginSync writes; the replica goes on when the write is synced.
 func (n *controlNode) beginSync(persist control.Persist) {
 	n.syncing = &persist
-	if n.w.mischief.stallDiskOnOrder && n.replica.PendingWeightsCalls() > 0 {
-		n.w.mischief.stallDiskOnOrder = false
+	if n.w.pending.stallDiskOnOrder && n.replica.PendingWeightsCalls() > 0 {
+		n.w.pending.stallDiskOnOrder = false
 		n.stallDisk(n.w.between(3*time.Second, 6*time.Second))
 	}
 	delay := max(n.w.between(500*time.Microsecond, 6*time.Millisecond), n.stallsTo-n.w.now())
@@ -269,7 +269,7 @@
 		delay = n.w.between(0, 5*time.Second)
 	}
 	if order.Order != nil {
-		delay = max(delay, n.w.mischief.delayOrder(n))
+		delay = max(delay, n.w.pending.delayOrder(n))
 	}
 	from := n.process
 	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.order(order) }) })
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -156,7 +156,7 @@
 			}
 		})
 	}
-	if e.w.now() < e.w.mischief.streamsUntil && event.Kind != core.AttemptStarted && e.w.chance(mischiefShare) {
+	if e.w.now() < e.w.pending.streamsUntil && event.Kind != core.AttemptStarted && e.w.chance(mischiefShare) {
 		e.misbehave(s, event, send)
 		return
 	}
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -167,7 +167,7 @@
 		return
 	}
 	if w.chance(0.5) {
-		w.mischief.onNextClaim = func(r *routerNode) { w.suspendRouter(r, length) }
+		w.pending.onNextClaim = func(r *routerNode) { w.suspendRouter(r, length) }
 		return
 	}
 	w.suspendRouter(pick(w, w.routers), length)
--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -38,7 +38,7 @@
 
 // faultStallOrder blocks the leader's disk between the decision to send a weights order and its sending.
 func (w *world) faultStallOrder() {
-	w.mischief.stallDiskOnOrder = true
+	w.pending.stallDiskOnOrder = true
 	pick(w, w.fleetOperators).publishWeights()
 }
 
--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -82,11 +82,11 @@
 }
 
 func (w *world) faultStreams() {
-	w.mischief.streamsUntil = w.now() + w.between(2*time.Second, 8*time.Second)
+	w.pending.streamsUntil = w.now() + w.between(2*time.Second, 8*time.Second)
 }
 
 func (w *world) faultServices() {
-	w.mischief.servicesUntil = w.now() + w.between(2*time.Second, 8*time.Second)
+	w.pending.servicesUntil = w.now() + w.between(2*time.Second, 8*time.Second)
 }
 
 // faultWrongList omits a running engine from the machine list.
@@ -99,7 +99,7 @@
 // faultClaimFreeze freezes a router that waits for a claim. Meanwhile a change comes into force and the router's
 // session expires. The router resumes in a partition, so that it can notice this by its own clock only.
 func (w *world) faultClaimFreeze() {
-	w.mischief.onNextClaim = func(r *routerNode) {
+	w.pending.onNextClaim = func(r *routerNode) {
 		if r.zone == serveLastZone {
 			return
 		}
@@ -134,7 +134,7 @@
 // so that the order arrives after a newer one.
 func (w *world) faultSlowOrder() {
 	const length = 5 * time.Second
-	w.mischief.onNextOrder = func(leader *controlNode) time.Duration {
+	w.pending.onNextOrder = func(leader *controlNode) time.Duration {
 		w.after(10*time.Millisecond, leader.freeze)
 		w.recordControlDisturbance(length)
 		w.after(length, leader.resume)
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -209,7 +209,7 @@
 
 func (r *routerNode) claim(action core.ActionClaim) {
 	claim := action.Claim
-	r.w.mischief.onClaim(r)
+	r.w.pending.onClaim(r)
 	newAsker(r.w, r.process).ask(control.Request{Claim: &claim}, r.w.now()+claimPatience, func(response control.Response, decided bool) {
 		event := core.EventClaim{ID: action.ID, ClaimID: claim.ClaimID, Failed: !decided || response.Claim == nil}
 		if !event.Failed {
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -128,7 +128,7 @@
 	w.network.partitioned = map[[2]string]int{}
 	w.network.degradedUntil = 0
 	w.onAccept, w.onPublished = nil, nil
-	w.mischief = pendingFaults{}
+	w.pending = pendingFaults{}
 	w.platform.omitted = map[string]bool{}
 	for _, n := range w.controls {
 		n.resume()
--- a/internal/lab/sim/services.go
+++ b/internal/lab/sim/services.go
@@ -24,7 +24,7 @@
 
 // serve runs a request. Within a fault's time it may read and close without running, or run and lose the answer.
 func (s *serviceNode) serve(run *exchange, attempt core.AttemptID, answer func(core.EventAttempt)) {
-	faulty := s.w.now() < s.w.mischief.servicesUntil
+	faulty := s.w.now() < s.w.pending.servicesUntil
 	if faulty && s.w.chance(0.25) {
 		s.w.logf("%s reads %s and closes", s.name, run.job.name)
 		answer(core.EventAttempt{Kind: core.AttemptBroken})
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -54,7 +54,7 @@
 	buildRandom      *rand.Rand // random source of mixed builds; nil: all control processes run the same build
 	raised           raisedLevel
 	killedRuns       int // requests that were running on killed back ends of the fleet
-	mischief         pendingFaults
+	pending          pendingFaults
 	history          *History // nil: no history is recorded
 	onAccept         []func() // run once, when the next change is accepted
 	onPublished      []func() // run once, when the next publication of weights is acknowledged
