--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -160,10 +160,10 @@
 
 // checkFatalSend records the send of a fatal request and checks that a quarantined one isn't sent.
 func (o *oracle) checkFatalSend(g *fleetGateway, f quarantine.Fingerprint, incarnation string) {
-	d := o.deadly[f]
+	d := o.fatal[f]
 	if d == nil {
 		d = &fatalRequest{}
-		o.deadly[f] = d
+		o.fatal[f] = d
 	}
 	now := o.w.now()
 	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thresholdAt)+quarantineContactTime
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -101,7 +101,7 @@
 	fleet         fleetOracle
 	said          signalOracle
 	limits        limitOracle
-	deadly        map[quarantine.Fingerprint]*fatalRequest
+	fatal         map[quarantine.Fingerprint]*fatalRequest
 	fatalRequests int
 }
 
@@ -109,7 +109,7 @@
 	return &oracle{
 		w: w, runs: map[string]int{}, notRunSends: map[*exchange]bool{},
 		outcomes: map[string]settings.Outcome{}, versions: map[uint64]string{}, routerUsed: map[string]uint64{},
-		fleet: newFleetOracle(), said: newSignalOracle(), limits: limitOracle{}, deadly: map[quarantine.Fingerprint]*fatalRequest{},
+		fleet: newFleetOracle(), said: newSignalOracle(), limits: limitOracle{}, fatal: map[quarantine.Fingerprint]*fatalRequest{},
 	}
 }
 
