--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -77,13 +77,13 @@
 
 // recordSignals records the signals in a response that a process received. The backoff is shortened by clockSkew, as the
 // process's clock may run fast.
-func (o *oracle) recordSignals(p senderBackend, said pushback.Signals) {
+func (o *oracle) recordSignals(p senderBackend, signals pushback.Signals) {
 	now := o.w.now()
-	if said.Backoff > 0 {
-		end := now + time.Duration(float64(said.Backoff)/(1+clockSkew))
+	if signals.Backoff > 0 {
+		end := now + time.Duration(float64(signals.Backoff)/(1+clockSkew))
 		o.said.backoffs[p] = append(o.said.backoffs[p], &backoffWindow{from: now + backoffGrace, until: end})
 	}
-	if _, known := o.said.drainingSince[p]; said.Draining && !known {
+	if _, known := o.said.drainingSince[p]; signals.Draining && !known {
 		o.said.drainingSince[p] = now
 	}
 }
