--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -99,7 +99,7 @@
 	firstAccept   time.Duration               // when the first change was accepted
 	controlFault  time.Duration               // end of the newest fault that may have stopped control
 	fleet         fleetOracle
-	said          signalOracle
+	signals       signalOracle
 	limits        limitOracle
 	fatal         map[quarantine.Fingerprint]*fatalRequest
 	fatalRequests int
@@ -109,7 +109,7 @@
 	return &oracle{
 		w: w, runs: map[string]int{}, notRunSends: map[*exchange]bool{},
 		outcomes: map[string]settings.Outcome{}, versions: map[uint64]string{}, routerUsed: map[string]uint64{},
-		fleet: newFleetOracle(), said: newSignalOracle(), limits: limitOracle{}, fatal: map[quarantine.Fingerprint]*fatalRequest{},
+		fleet: newFleetOracle(), signals: newSignalOracle(), limits: limitOracle{}, fatal: map[quarantine.Fingerprint]*fatalRequest{},
 	}
 }
 
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -81,17 +81,17 @@
 	now := o.w.now()
 	if signals.Backoff > 0 {
 		end := now + time.Duration(float64(signals.Backoff)/(1+clockSkew))
-		o.said.backoffs[p] = append(o.said.backoffs[p], &backoffWindow{from: now + backoffGrace, until: end})
+		o.signals.backoffs[p] = append(o.signals.backoffs[p], &backoffWindow{from: now + backoffGrace, until: end})
 	}
-	if _, known := o.said.drainingSince[p]; signals.Draining && !known {
-		o.said.drainingSince[p] = now
+	if _, known := o.signals.drainingSince[p]; signals.Draining && !known {
+		o.signals.drainingSince[p] = now
 	}
 }
 
 // checkSend checks a request against the received signals when it is sent.
 func (o *oracle) checkSend(p senderBackend) {
 	now := o.w.now()
-	for _, window := range o.said.backoffs[p] {
+	for _, window := range o.signals.backoffs[p] {
 		if now <= window.from || now >= window.until {
 			continue
 		}
@@ -99,7 +99,7 @@
 			o.fail(RestGiven, "%s sent %s %d requests in a backoff that ends in %v", p.sender, p.backend, window.requests, window.until-now)
 		}
 	}
-	if at, left := o.said.drainingSince[p]; left && now > at+drainGrace {
+	if at, left := o.signals.drainingSince[p]; left && now > at+drainGrace {
 		o.fail(LeavingNoWork, "%s sent a new request to %s %v after that one had reported that it drains", p.sender, p.backend, now-at)
 	}
 }
