--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -128,7 +128,7 @@
 		return
 	}
 	incarnation := o.limits.of(p.backend, n)
-	if heard, known := incarnation.learnedAt[p.sender]; !known || now < heard+limitLearnDelay {
+	if learnedAt, known := incarnation.learnedAt[p.sender]; !known || now < learnedAt+limitLearnDelay {
 		return
 	}
 	incarnation.sends = window.Add(incarnation.sends, now)
