--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -141,12 +141,12 @@
 // hasLease reports whether a gateway may send to a back end within its advertised limit now. If not, it requests a lease
 // and sends the request when it gets one.
 func (g *fleetGateway) hasLease(entry control.RosterEntry) bool {
-	limit, heard := g.signals.LimitObservedAt(catalog.ParseInstanceID(entry.ID))
+	limit, observedAt := g.signals.LimitObservedAt(catalog.ParseInstanceID(entry.ID))
 	if !limit.Advertised || !g.w.guards.On(guard.AdvertisedLimitCheck) {
 		return true
 	}
 	name, now := quota.Backend(entry.ID), g.clock()
-	named := allowance.AdvertisedLimit{Rate: limit.Rate, Age: now - heard}
+	named := allowance.AdvertisedLimit{Rate: limit.Rate, Age: now - observedAt}
 	g.leases.SetAdvertisedLimit(now, name, named)
 	if lease, ok := g.leases.Take(now, name, 1); ok {
 		return lease.Valid(now)
