--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -146,13 +146,13 @@
 		return true
 	}
 	name, now := quota.Backend(entry.ID), g.clock()
-	named := allowance.AdvertisedLimit{Rate: limit.Rate, Age: now - observedAt}
-	g.leases.SetAdvertisedLimit(now, name, named)
+	advertised := allowance.AdvertisedLimit{Rate: limit.Rate, Age: now - observedAt}
+	g.leases.SetAdvertisedLimit(now, name, advertised)
 	if lease, ok := g.leases.Take(now, name, 1); ok {
 		return lease.Valid(now)
 	}
 	if !g.requestingLease {
-		g.requestLease(entry, []allowance.Demand{{Name: name, Amount: 1, Advertised: &named}})
+		g.requestLease(entry, []allowance.Demand{{Name: name, Amount: 1, Advertised: &advertised}})
 	}
 	return false
 }
