--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -159,14 +159,14 @@
 
 // requestLease requests a lease on a back end's limit from the leader and sends the request if it gets one.
 func (g *fleetGateway) requestLease(entry control.RosterEntry, demands []allowance.Demand) {
-	asked := g.clock()
-	request := g.leases.NewRequest(asked, demands)
+	sentAt := g.clock()
+	request := g.leases.NewRequest(sentAt, demands)
 	g.requestingLease = true
 	g.leaseAsker.once(control.Request{AllowanceRequest: &request}, leaseTimeout, func(response control.Response, answered bool) {
 		g.requestingLease = false
 		var lease allowance.Lease
 		if answered && response.AllowanceReply != nil {
-			lease = g.leases.ApplyReply(g.clock(), asked, demands, *response.AllowanceReply)[0].Lease
+			lease = g.leases.ApplyReply(g.clock(), sentAt, demands, *response.AllowanceReply)[0].Lease
 		} else {
 			lease, _ = g.leases.TakeFallback(g.clock(), demands[0].Name, 1)
 		}
