--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -93,13 +93,13 @@
 // acknowledged, allowing for clock errors, and after this gateway first received it, whatever the wall clocks did.
 func (o *oracle) checkRequestStart(gateway string, b *fleetBackend) {
 	now := o.w.now()
-	for version, naming := range o.fleet.publications {
+	for version, publication := range o.fleet.publications {
 		if version <= b.version {
 			continue
 		}
-		day := naming.maxSkew - naming.minSkew + wallClockRounding
-		if late := now - naming.ackedAt - oldWeightsStartLimit - clockSlack - day; naming.acked && late > 0 {
-			o.fail(WeightsInTime, "%s starts a request on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-naming.ackedAt, version)
+		day := publication.maxSkew - publication.minSkew + wallClockRounding
+		if late := now - publication.ackedAt - oldWeightsStartLimit - clockSlack - day; publication.acked && late > 0 {
+			o.fail(WeightsInTime, "%s starts a request on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-publication.ackedAt, version)
 		}
 		heard, told := o.fleet.publicationSeenAt[gateway][version]
 		if late := now - heard - oldWeightsStartLimit - clockSlack; told && late > 0 {
