--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -70,11 +70,11 @@
 
 // updateWallSkews updates the range of skews of every publication.
 func (o *oracle) updateWallSkews() {
-	for _, naming := range o.fleet.publications {
+	for _, p := range o.fleet.publications {
 		for _, n := range o.w.controls {
-			naming.minSkew = min(naming.minSkew, n.wallSkew)
-			if !naming.acked {
-				naming.maxSkew = max(naming.maxSkew, n.wallSkew)
+			p.minSkew = min(p.minSkew, n.wallSkew)
+			if !p.acked {
+				p.maxSkew = max(p.maxSkew, n.wallSkew)
 			}
 		}
 	}
