--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -97,8 +97,8 @@
 		if version <= b.version {
 			continue
 		}
-		day := publication.maxSkew - publication.minSkew + wallClockRounding
-		if late := now - publication.ackedAt - oldWeightsStartLimit - clockSlack - day; publication.acked && late > 0 {
+		skewSlack := publication.maxSkew - publication.minSkew + wallClockRounding
+		if late := now - publication.ackedAt - oldWeightsStartLimit - clockSlack - skewSlack; publication.acked && late > 0 {
 			o.fail(WeightsInTime, "%s starts a request on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-publication.ackedAt, version)
 		}
 		heard, told := o.fleet.publicationSeenAt[gateway][version]
