--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -83,7 +83,7 @@
 // recordPublicationsSeen records when a gateway's incarnation first received each publication.
 func (o *oracle) recordPublicationsSeen(gateway string, wanted []control.WeightsPublication) {
 	for _, w := range wanted {
-		if _, told := o.fleet.publicationSeenAt[gateway][w.Version]; !told {
+		if _, seen := o.fleet.publicationSeenAt[gateway][w.Version]; !seen {
 			o.fleet.publicationSeenAt[gateway][w.Version] = o.w.now()
 		}
 	}
