--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -101,8 +101,8 @@
 		if late := now - publication.ackedAt - oldWeightsStartLimit - clockSlack - skewSlack; publication.acked && late > 0 {
 			o.fail(WeightsInTime, "%s starts a request on weights %d of %s %v after %d was acknowledged", gateway, b.version, b.id, now-publication.ackedAt, version)
 		}
-		seenAt, told := o.fleet.publicationSeenAt[gateway][version]
-		if late := now - seenAt - oldWeightsStartLimit - clockSlack; told && late > 0 {
+		seenAt, seen := o.fleet.publicationSeenAt[gateway][version]
+		if late := now - seenAt - oldWeightsStartLimit - clockSlack; seen && late > 0 {
 			o.fail(WeightsInTime, "%s starts a request on weights %d of %s %v after it received %d", gateway, b.version, b.id, now-seenAt, version)
 		}
 	}
