--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -58,8 +58,8 @@
 
 // recordPublishAck records that a publication was acknowledged to an operator.
 func (o *oracle) recordPublishAck(version uint64) {
-	naming := o.fleet.publications[version]
-	naming.acked, naming.ackedAt = true, o.w.now()
+	published := o.fleet.publications[version]
+	published.acked, published.ackedAt = true, o.w.now()
 	o.fleet.lastPublishedAcked = max(o.fleet.lastPublishedAcked, version)
 	waiting := o.w.onPublished
 	o.w.onPublished = nil
