--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -26,8 +26,8 @@
 
 // startsTooLate reports whether requests may no longer start on a back end's weights, or its weights are unknown.
 func (g *fleetGateway) startsTooLate(entry control.RosterEntry) bool {
-	held, known := entry.Versions[fleetModel]
-	namedAt, lacks := g.publishTimes.OldestMissing(fleetModel, held)
+	version, known := entry.Versions[fleetModel]
+	namedAt, lacks := g.publishTimes.OldestMissing(fleetModel, version)
 	return !known || lacks && g.clock() >= namedAt+oldWeightsStartLimit
 }
 
