--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -27,8 +27,8 @@
 // startsTooLate reports whether requests may no longer start on a back end's weights, or its weights are unknown.
 func (g *fleetGateway) startsTooLate(entry control.RosterEntry) bool {
 	version, known := entry.Versions[fleetModel]
-	publishedAt, lacks := g.publishTimes.OldestMissing(fleetModel, version)
-	return !known || lacks && g.clock() >= publishedAt+oldWeightsStartLimit
+	publishedAt, outdated := g.publishTimes.OldestMissing(fleetModel, version)
+	return !known || outdated && g.clock() >= publishedAt+oldWeightsStartLimit
 }
 
 // startRequest sends a request that names the expected weights. The back end may reject it.
