--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -81,8 +81,8 @@
 }
 
 // recordPublicationsSeen records when a gateway's incarnation first received each publication.
-func (o *oracle) recordPublicationsSeen(gateway string, wanted []control.WeightsPublication) {
-	for _, w := range wanted {
+func (o *oracle) recordPublicationsSeen(gateway string, publications []control.WeightsPublication) {
+	for _, w := range publications {
 		if _, seen := o.fleet.publicationSeenAt[gateway][w.Version]; !seen {
 			o.fleet.publicationSeenAt[gateway][w.Version] = o.w.now()
 		}
