--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -111,17 +111,17 @@
 // faultLateLeader makes a replica leader that missed the publication of a version: it restarted, or was partitioned or
 // frozen meanwhile. Some replicas' wall clocks are set back, and some gateways restart.
 func (w *world) faultLateLeader() {
-	leader, late := w.leader(), pick(w, w.controls)
+	leader, lagging := w.leader(), pick(w, w.controls)
 	away := w.between(1500*time.Millisecond, 4*time.Second)
 	switch {
-	case leader == nil || late == leader || w.chance(0.4):
+	case leader == nil || lagging == leader || w.chance(0.4):
 		w.onPublished = append(w.onPublished, func() { w.after(w.between(0, away), w.restartAllControl) })
 	case w.chance(0.5):
-		w.after(away, w.partitionZone(late.zone))
+		w.after(away, w.partitionZone(lagging.zone))
 		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.restartReplica(leader) })
 	default:
-		late.freeze()
-		w.after(away, late.resume)
+		lagging.freeze()
+		w.after(away, lagging.resume)
 		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.restartReplica(leader) })
 	}
 	w.recordControlDisturbance(2 * away)
