--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -112,24 +112,24 @@
 // frozen meanwhile. Some replicas' wall clocks are set back, and some gateways restart.
 func (w *world) faultLateLeader() {
 	leader, lagging := w.leader(), pick(w, w.controls)
-	away := w.between(1500*time.Millisecond, 4*time.Second)
+	duration := w.between(1500*time.Millisecond, 4*time.Second)
 	switch {
 	case leader == nil || lagging == leader || w.chance(0.4):
-		w.onPublished = append(w.onPublished, func() { w.after(w.between(0, away), w.restartAllControl) })
+		w.onPublished = append(w.onPublished, func() { w.after(w.between(0, duration), w.restartAllControl) })
 	case w.chance(0.5):
-		w.after(away, w.partitionZone(lagging.zone))
-		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.restartReplica(leader) })
+		w.after(duration, w.partitionZone(lagging.zone))
+		w.after(duration+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.restartReplica(leader) })
 	default:
 		lagging.freeze()
-		w.after(away, lagging.resume)
-		w.after(away+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.restartReplica(leader) })
+		w.after(duration, lagging.resume)
+		w.after(duration+w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.restartReplica(leader) })
 	}
-	w.recordControlDisturbance(2 * away)
+	w.recordControlDisturbance(2 * duration)
 	w.onPublished = append(w.onPublished, func() {
 		for _, g := range w.gateways {
 			if w.chance(0.4) {
-				w.after(w.between(0, away), func() { g.kill(false) })
-				w.restart(g, away)
+				w.after(w.between(0, duration), func() { g.kill(false) })
+				w.restart(g, duration)
 			}
 		}
 	})
