--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -39,11 +39,11 @@
 	}
 	g.w.oracle.checkSend(pairOf(g.process, b.id))
 	g.w.oracle.checkLimitedSend(pairOf(g.process, b.id), b.advertised)
-	asked := g.clock()
+	sentAt := g.clock()
 	if !b.matchesID(entry.ID) {
 		return // rejected for its instance ID; that isn't a request to back off
 	}
-	refused := g.observeResponse(asked, entry, b) || b.version != entry.Versions[fleetModel] || g.w.now() < b.loadingUntil
+	refused := g.observeResponse(sentAt, entry, b) || b.version != entry.Versions[fleetModel] || g.w.now() < b.loadingUntil
 	if !refused {
 		g.w.oracle.checkRequestStart(g.process.name, b)
 	}
