--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -43,8 +43,8 @@
 	if !b.matchesID(entry.ID) {
 		return // rejected for its instance ID; that isn't a request to back off
 	}
-	refused := g.observeResponse(sentAt, entry, b) || b.version != entry.Versions[fleetModel] || g.w.now() < b.loadingUntil
-	if !refused {
+	rejected := g.observeResponse(sentAt, entry, b) || b.version != entry.Versions[fleetModel] || g.w.now() < b.loadingUntil
+	if !rejected {
 		g.w.oracle.checkRequestStart(g.process.name, b)
 	}
 }
