--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -315,7 +315,7 @@
 func (g *fleetGateway) clock() time.Duration { return g.elapsed(g.startedAt, g.w.now()) }
 
 func (g *fleetGateway) watchControl() {
-	asked := g.clock()
+	sentAt := g.clock()
 	floor := g.w.oracle.currentFloor()
 	watch := &control.Watch{
 		Gateway: g.process.name, Zone: g.zone, Revision: g.revision, Roster: g.version, Hold: fleetHold, Quarantine: g.crashes.Version(),
@@ -326,7 +326,7 @@
 	g.asker.once(control.Request{Watch: watch}, askTimeout, func(response control.Response, answered bool) {
 		pause := askPause
 		if answered && response.Kind == control.ResponseOK && response.Watch != nil {
-			g.applyWatchReply(asked, floor, response.Watch)
+			g.applyWatchReply(sentAt, floor, response.Watch)
 			pause = time.Millisecond
 		}
 		g.after(pause, g.watchControl)
