--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -333,7 +333,7 @@
 	})
 }
 
-func (g *fleetGateway) applyWatchReply(asked time.Duration, floor watchFloor, reply *control.WatchReply) {
+func (g *fleetGateway) applyWatchReply(sentAt time.Duration, floor watchFloor, reply *control.WatchReply) {
 	g.w.oracle.checkWatchReply(g.process.name, floor, reply)
 	if reply.Document != nil && reply.Revision > g.revision {
 		g.revision = reply.Revision
@@ -347,10 +347,10 @@
 		g.crashes.RecordIdle(g.clock(), g.clock()-g.confirmed-fleetViewTTL)
 	}
 	g.applyQuarantineUpdate(reply, before)
-	g.publishTimes.Update(g.clock(), asked, reply.Version.Term, reply.Publications)
+	g.publishTimes.Update(g.clock(), sentAt, reply.Version.Term, reply.Publications)
 	g.w.oracle.recordPublicationsSeen(g.process.name, reply.Publications)
-	g.version, g.confirmed = reply.Version, asked
-	g.leases.RecordContact(asked, reply.Gateways)
+	g.version, g.confirmed = reply.Version, sentAt
+	g.leases.RecordContact(sentAt, reply.Gateways)
 }
 
 // hasValidView reports whether the view was confirmed within its TTL.
