--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -160,11 +160,11 @@
 func (b *fleetBackend) heartbeat() {
 	b.sequence++
 	beat := &control.BackendHeartbeat{Instance: b.instance(), Sequence: b.sequence, Versions: map[string]uint64{fleetModel: b.version}}
-	late := time.Duration(0)
+	delay := time.Duration(0)
 	if b.w.chance(0.05) {
-		late = b.w.between(0, 3*time.Second)
+		delay = b.w.between(0, 3*time.Second)
 	}
-	b.w.after(late, func() { b.sendHeartbeat(beat) })
+	b.w.after(delay, func() { b.sendHeartbeat(beat) })
 }
 
 // sendHeartbeat sends a full heartbeat, or sometimes a keepalive if the leader has acknowledged the same state.
