--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -159,12 +159,12 @@
 // heartbeat sends a heartbeat. Some arrive seconds late.
 func (b *fleetBackend) heartbeat() {
 	b.sequence++
-	beat := &control.BackendHeartbeat{Instance: b.instance(), Sequence: b.sequence, Versions: map[string]uint64{fleetModel: b.version}}
+	heartbeat := &control.BackendHeartbeat{Instance: b.instance(), Sequence: b.sequence, Versions: map[string]uint64{fleetModel: b.version}}
 	delay := time.Duration(0)
 	if b.w.chance(0.05) {
 		delay = b.w.between(0, 3*time.Second)
 	}
-	b.w.after(delay, func() { b.sendHeartbeat(beat) })
+	b.w.after(delay, func() { b.sendHeartbeat(heartbeat) })
 }
 
 // sendHeartbeat sends a full heartbeat, or sometimes a keepalive if the leader has acknowledged the same state.
