--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -324,12 +324,12 @@
 		g.asker.leader = pick(g.w, g.w.controls).name // switch to another replica
 	}
 	g.asker.once(control.Request{Watch: watch}, askTimeout, func(response control.Response, answered bool) {
-		pause := askPause
+		delay := askPause
 		if answered && response.Kind == control.ResponseOK && response.Watch != nil {
 			g.applyWatchReply(sentAt, floor, response.Watch)
-			pause = time.Millisecond
+			delay = time.Millisecond
 		}
-		g.after(pause, g.watchControl)
+		g.after(delay, g.watchControl)
 	})
 }
 
