--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -74,11 +74,11 @@
 }
 
 func (w *world) planFault(at time.Duration) {
-	drawn := pick(w, faultKinds)
+	kind := pick(w, faultKinds)
 	w.after(at, func() {
 		w.faults++
-		w.logf("FAULT %s", drawn.name)
-		drawn.run(w)
+		w.logf("FAULT %s", kind.name)
+		kind.run(w)
 	})
 }
 
