--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -206,8 +206,8 @@
 			continue
 		}
 		voters++
-		held := w.control(member.Name)
-		if held.identity.ID != member.ID || !held.up || held.frozen {
+		voter := w.control(member.Name)
+		if voter.identity.ID != member.ID || !voter.up || voter.frozen {
 			return false
 		}
 	}
