--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -6,9 +6,9 @@
 func (w *world) faultFleetProcess() {
 	w.faults++
 	if w.chance(0.4) {
-		struck := pick(w, w.backends)
-		w.killBackend(struck, w.chance(0.5))
-		w.restart(struck, w.between(100*time.Millisecond, 4*time.Second))
+		backend := pick(w, w.backends)
+		w.killBackend(backend, w.chance(0.5))
+		w.restart(backend, w.between(100*time.Millisecond, 4*time.Second))
 		return
 	}
 	struck := pick(w, w.gateways)
