--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -11,14 +11,14 @@
 		w.restart(backend, w.between(100*time.Millisecond, 4*time.Second))
 		return
 	}
-	struck := pick(w, w.gateways)
+	gateway := pick(w, w.gateways)
 	if w.chance(0.5) {
-		struck.freeze()
-		w.after(w.between(500*time.Millisecond, 5*time.Second), struck.resume)
+		gateway.freeze()
+		w.after(w.between(500*time.Millisecond, 5*time.Second), gateway.resume)
 		return
 	}
-	struck.kill(w.chance(0.5))
-	w.restart(struck, w.between(100*time.Millisecond, 3*time.Second))
+	gateway.kill(w.chance(0.5))
+	w.restart(gateway, w.between(100*time.Millisecond, 3*time.Second))
 }
 
 // faultStallDisk blocks a replica's disk for a while. The replica must neither acknowledge changes nor lead meanwhile.
