--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -43,14 +43,14 @@
 	build     level.Level // that it runs, or that it starts as if keepsBuild is set
 	wallSkew  time.Duration
 
-	stallsTo time.Duration     // no write ends before
-	syncing  *control.Persist  // being written
-	unsynced []control.Persist // acknowledged before the sync; only without the guard
-	inbox    []func()          // arrived during a sync
-	alarm    vtime.Alarm
-	clients  map[uint64]func(control.Response)
-	nextID   uint64
-	joining  *asker
+	stalledUntil time.Duration     // no write ends before
+	syncing      *control.Persist  // being written
+	unsynced     []control.Persist // acknowledged before the sync; only without the guard
+	inbox        []func()          // arrived during a sync
+	alarm        vtime.Alarm
+	clients      map[uint64]func(control.Response)
+	nextID       uint64
+	joining      *asker
 
 	keepsBuild bool // its next start takes this build again
 }
@@ -170,7 +170,7 @@
 		n.w.pending.stallDiskOnOrder = false
 		n.stallDisk(n.w.between(3*time.Second, 6*time.Second))
 	}
-	delay := max(n.w.between(500*time.Microsecond, 6*time.Millisecond), n.stallsTo-n.w.now())
+	delay := max(n.w.between(500*time.Microsecond, 6*time.Millisecond), n.stalledUntil-n.w.now())
 	n.after(delay, func() {
 		n.store(persist)
 		n.syncing = nil
--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -32,7 +32,7 @@
 
 func (n *controlNode) stallDisk(length time.Duration) {
 	n.w.logf("%s: its disk stalls for %v", n.name, length)
-	n.stallsTo = n.w.now() + length
+	n.stalledUntil = n.w.now() + length
 	n.w.recordControlDisturbance(length + calmNeeded)
 }
 
