--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -61,8 +61,8 @@
 		return
 	}
 	for _, entry := range reply.Roster.Entries {
-		at, leaves := o.fleet.draining[entry.ID]
-		if leaves && at < floor.at && entry.State == catalog.StateReady {
+		at, draining := o.fleet.draining[entry.ID]
+		if draining && at < floor.at && entry.State == catalog.StateReady {
 			o.fail(LeavingNoWork, "%s was told that %s is ready, %v after its draining had been acknowledged", gateway, entry.ID, floor.at-at)
 		}
 	}
