--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -84,10 +84,10 @@
 
 // checkOrder records an order and checks that two leaders don't order weights at one back end within holderWindow.
 func (o *oracle) checkOrder(issuer *controlNode, call control.WeightsCall) {
-	before, known := o.fleet.orders[call.Instance]
+	previous, known := o.fleet.orders[call.Instance]
 	now := o.w.now()
-	if known && before.holder != issuer.identity.ID && now-before.at < holderWindow {
-		o.fail(CacheIsolation, "%s ordered weights at %s %v after %s had", issuer.name, call.Instance, now-before.at, before.issuer.name)
+	if known && previous.holder != issuer.identity.ID && now-previous.at < holderWindow {
+		o.fail(CacheIsolation, "%s ordered weights at %s %v after %s had", issuer.name, call.Instance, now-previous.at, previous.issuer.name)
 	}
 	o.fleet.orders[call.Instance] = issuedOrder{at: now, holder: issuer.identity.ID, issuer: issuer, term: issuer.replica.Node().Term()}
 }
