--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -31,9 +31,9 @@
 func (w *world) faultRejectRequests() {
 	until, rest := w.now()+w.between(time.Second, 6*time.Second), w.between(time.Second, 5*time.Second)
 	all := w.chance(rejectAllRatio)
-	struckEngine, struckBackend := pick(w, w.engines), pick(w, w.backends)
+	targetEngine, struckBackend := pick(w, w.engines), pick(w, w.backends)
 	for _, e := range w.engines {
-		if all || e == struckEngine {
+		if all || e == targetEngine {
 			e.shed = rejection{until, rest}
 		}
 	}
