--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -31,14 +31,14 @@
 func (w *world) faultRejectRequests() {
 	until, rest := w.now()+w.between(time.Second, 6*time.Second), w.between(time.Second, 5*time.Second)
 	all := w.chance(rejectAllRatio)
-	targetEngine, struckBackend := pick(w, w.engines), pick(w, w.backends)
+	targetEngine, targetBackend := pick(w, w.engines), pick(w, w.backends)
 	for _, e := range w.engines {
 		if all || e == targetEngine {
 			e.shed = rejection{until, rest}
 		}
 	}
 	for _, b := range w.backends {
-		if all || b == struckBackend {
+		if all || b == targetBackend {
 			b.rejecting = rejection{until, rest}
 		}
 	}
