--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -29,17 +29,17 @@
 
 // faultRejectRequests makes back ends reject requests and ask for backoff for a while.
 func (w *world) faultRejectRequests() {
-	until, rest := w.now()+w.between(time.Second, 6*time.Second), w.between(time.Second, 5*time.Second)
+	until, backoff := w.now()+w.between(time.Second, 6*time.Second), w.between(time.Second, 5*time.Second)
 	all := w.chance(rejectAllRatio)
 	targetEngine, targetBackend := pick(w, w.engines), pick(w, w.backends)
 	for _, e := range w.engines {
 		if all || e == targetEngine {
-			e.shed = rejection{until, rest}
+			e.shed = rejection{until, backoff}
 		}
 	}
 	for _, b := range w.backends {
 		if all || b == targetBackend {
-			b.rejecting = rejection{until, rest}
+			b.rejecting = rejection{until, backoff}
 		}
 	}
 }
