--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -112,14 +112,14 @@
 
 // observeResponse records a back end's signals in the response to a request. The gateway attributes them to the
 // incarnation that it meant to call; it doesn't know which one responded.
-func (g *fleetGateway) observeResponse(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (rejected bool) {
+func (g *fleetGateway) observeResponse(sentAt time.Duration, entry control.RosterEntry, b *fleetBackend) (rejected bool) {
 	signals := pushback.Signals{Backoff: b.rejecting.requestedBackoff(g.w.now()), Draining: b.draining, Limit: b.advertised.limit(g.w.now())}
 	g.w.oracle.recordSignals(pairOf(g.process, b.id), signals)
 	g.signals.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), signals, g.w.random.Float64())
 	if signals.Limit.Advertised {
 		g.w.oracle.recordLimit(pairOf(g.process, b.id), b.advertised)
 	} else {
-		g.signals.ObserveNoLimit(g.clock(), sent, catalog.ParseInstanceID(entry.ID))
+		g.signals.ObserveNoLimit(g.clock(), sentAt, catalog.ParseInstanceID(entry.ID))
 	}
 	return signals.Backoff > 0
 }
