--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -83,9 +83,9 @@
 	if !n.up {
 		return
 	}
-	held := n.replica.Machine().Level()
-	if held > n.w.raised.level {
-		n.w.raised = raisedLevel{held, n.w.now(), n.replica.Node().Membership()}
+	current := n.replica.Machine().Level()
+	if current > n.w.raised.level {
+		n.w.raised = raisedLevel{current, n.w.now(), n.replica.Node().Membership()}
 	}
 	err := n.replica.Err()
 	_, member := n.w.raised.members.Find(n.identity.ID)
@@ -94,7 +94,7 @@
 		n.w.oracle.fail(BuildsKnown, "%s of level %d had run for %v when level %d came into force", n.name, n.build, n.w.raised.at-n.startedAt, n.w.raised.level)
 	case err != nil:
 		n.restartWithNewBuild(err)
-	case held > n.build:
-		n.w.oracle.fail(BuildsKnown, "%s of level %d runs on a state of level %d", n.name, n.build, held)
+	case current > n.build:
+		n.w.oracle.fail(BuildsKnown, "%s of level %d runs on a state of level %d", n.name, n.build, current)
 	}
 }
