--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -73,7 +73,7 @@
 	n.w.logf("%s ends, too old: %v", n.name, err)
 	n.build = newBuild
 	n.die(false)
-	n.keepsBuild = true
+	n.keepBuild = true
 	n.w.restartControl(n, replaceDelay)
 }
 
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -52,7 +52,7 @@
 	nextID       uint64
 	joining      *asker
 
-	keepsBuild bool // its next start takes this build again
+	keepBuild bool // its next start takes this build again
 }
 
 func (n *controlNode) clock() time.Duration { return n.elapsed(n.startedAt, n.w.now()) }
@@ -78,10 +78,10 @@
 	n.clients = map[uint64]func(control.Response){}
 	n.alarm = vtime.Alarm{}
 	n.joining = newAsker(n.w, n.process)
-	if !n.keepsBuild {
+	if !n.keepBuild {
 		n.build = n.w.drawBuild()
 	}
-	n.keepsBuild = false
+	n.keepBuild = false
 	config := control.Config{
 		Level: n.build,
 		ID:    n.identity.ID, Name: n.name, Address: n.name, Timing: controlTiming, Replicas: groupSize,
