--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -166,8 +166,8 @@
 		o.fatal[f] = d
 	}
 	now := o.w.now()
-	well := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thresholdAt)+quarantineContactTime
-	if d.crashes >= quarantine.QuarantineThreshold && well {
+	healthy := now > max(o.controlFault, g.startedAt, g.resumedAt, d.thresholdAt)+quarantineContactTime
+	if d.crashes >= quarantine.QuarantineThreshold && healthy {
 		if d.excessSends++; d.excessSends > maxFatalSends {
 			o.fail(HeldBackTrue, "%s sent a request to %s that had crashed %d back ends; it reached the quarantine threshold %v ago", g.process.name, incarnation, d.crashes, now-d.thresholdAt)
 		}
