--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -114,9 +114,9 @@
 	})
 }
 
-func (g *fleetGateway) release(innocent ...quarantine.Fingerprint) {
-	if len(innocent) > 0 {
-		g.proposeQuarantineChange(quarantine.Change{Releases: []quarantine.Release{{Requests: innocent, Reason: quarantine.ReasonCompleted}}})
+func (g *fleetGateway) release(completed ...quarantine.Fingerprint) {
+	if len(completed) > 0 {
+		g.proposeQuarantineChange(quarantine.Change{Releases: []quarantine.Release{{Requests: completed, Reason: quarantine.ReasonCompleted}}})
 	}
 }
 
