--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -107,8 +107,8 @@
 func (g *fleetGateway) proposeQuarantineChange(change quarantine.Change) {
 	request := control.Request{Catalog: &catalog.Command{Quarantine: &change}}
 	record := g.crashes
-	g.asker.ask(request, g.w.now()+quarantineReportTimeout, func(_ control.Response, taken bool) {
-		if taken {
+	g.asker.ask(request, g.w.now()+quarantineReportTimeout, func(_ control.Response, accepted bool) {
+		if accepted {
 			record.Acknowledge(change.Crashes)
 		}
 	})
