--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -68,12 +68,12 @@
 	broken := p.connections
 	p.connections = nil
 	p.w.logf("%s dies, silently=%v", p.name, silent)
-	soonest, latest := time.Millisecond, 3*time.Millisecond
+	minDelay, latest := time.Millisecond, 3*time.Millisecond
 	if silent {
-		soonest, latest = minKeepAliveTimeout, maxKeepAliveTimeout
+		minDelay, latest = minKeepAliveTimeout, maxKeepAliveTimeout
 	}
 	for _, held := range broken {
-		p.w.after(p.w.between(soonest, latest), held.reset)
+		p.w.after(p.w.between(minDelay, latest), held.reset)
 	}
 }
 
