--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -72,8 +72,8 @@
 	if silent {
 		minDelay, maxDelay = minKeepAliveTimeout, maxKeepAliveTimeout
 	}
-	for _, held := range broken {
-		p.w.after(p.w.between(minDelay, maxDelay), held.reset)
+	for _, c := range broken {
+		p.w.after(p.w.between(minDelay, maxDelay), c.reset)
 	}
 }
 
