--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -110,11 +110,11 @@
 const maxTrackedConnections = 256
 
 // trackConnection records a connection to the process.
-func (p *process) trackConnection(fresh connection) {
+func (p *process) trackConnection(c connection) {
 	if len(p.connections) >= maxTrackedConnections {
 		p.connections = slices.DeleteFunc(p.connections, connection.ended)
 	}
-	p.connections = append(p.connections, fresh)
+	p.connections = append(p.connections, c)
 }
 
 // freeze stops the process. Events that arrive meanwhile are queued.
