--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -136,10 +136,10 @@
 		p.suspendedAt = 0
 	}
 	p.w.logf("%s resumes with %d queued events", p.name, len(p.backlog))
-	waiting := p.backlog
+	queued := p.backlog
 	p.backlog = nil
 	generation := p.generation
-	for _, run := range waiting {
+	for _, run := range queued {
 		p.run(generation, run)
 	}
 }
