--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -160,8 +160,8 @@
 	generation, lost, setAt := p.generation, p.suspendedFor, p.w.now()
 	p.w.after(delay, func() {
 		p.run(generation, func() {
-			if left := delay - (p.w.now() - setAt - (p.suspendedFor - lost)); left > 0 {
-				p.after(left, do)
+			if remaining := delay - (p.w.now() - setAt - (p.suspendedFor - lost)); remaining > 0 {
+				p.after(remaining, do)
 				return
 			}
 			do()
