--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -157,10 +157,10 @@
 
 // after sets a timer of the current generation. It doesn't advance while the machine is suspended.
 func (p *process) after(delay time.Duration, do func()) {
-	generation, lost, setAt := p.generation, p.suspendedFor, p.w.now()
+	generation, suspendedBefore, setAt := p.generation, p.suspendedFor, p.w.now()
 	p.w.after(delay, func() {
 		p.run(generation, func() {
-			if remaining := delay - (p.w.now() - setAt - (p.suspendedFor - lost)); remaining > 0 {
+			if remaining := delay - (p.w.now() - setAt - (p.suspendedFor - suspendedBefore)); remaining > 0 {
 				p.after(remaining, do)
 				return
 			}
