--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// recordBrokenRuns records runs that broke off and checks whether their back end has ended. This can't be determined if the
-// machine lost power or is partitioned.
+// recordBrokenRuns records runs that broke off and checks whether their back end has ended. This can't be determined if
+// the machine lost power or is partitioned.
 func (g *fleetGateway) recordBrokenRuns(b *fleetBackend, incarnation string, silent bool, runs []quarantine.Fingerprint) {
 	for _, f := range runs {
 		if crash, counts := g.crashes.RecordFailure(g.clock(), incarnation, f); counts {
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -194,7 +194,8 @@
 	return len(w.network.partitioned) == 0 && w.allVotersIntact()
 }
 
-// allVotersIntact reports whether there is a leader with a committed membership and every voter runs on its original disk.
+// allVotersIntact reports whether there is a leader with a committed membership and every voter runs on the disk
+// that it joined with.
 func (w *world) allVotersIntact() bool {
 	leader := w.leader()
 	if leader == nil || !leader.replica.Node().MembershipCommitted() {
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -30,7 +30,7 @@
 	maxOrderDelay          = 4 * time.Second // longest delay of an order whose reply was lost
 	replicaSwitchRatio     = 0.1             // share of watches with which a gateway switches to another replica
 	noRelay                = 1 << 20         // more gateways than any run has: the leader answers all watches
-	// sendWindow is how long after a back end began to load no gateway may send to it, while the ordering leader still leads.
+	// sendWindow is how long after a back end began to load no gateway may send to it, while the ordering leader leads.
 	sendWindow = 300 * time.Millisecond
 	// holderWindow is the minimum time between orders of two leaders to one back end, as a fast clock measures the delay.
 	holderWindow = fleetOrderDelay * 100 / 105
--- a/internal/lab/sim/fleet_oracle.go
+++ b/internal/lab/sim/fleet_oracle.go
@@ -103,8 +103,8 @@
 // they name the weights that they expect, and a back end that has others rejects them.
 func (o *oracle) recordLostReply(call control.WeightsCall) { delete(o.fleet.loadStarts, call.Instance) }
 
-// checkFleetSend checks that no gateway with a valid view sends to a back end that loads weights, while the ordering leader
-// still leads.
+// checkFleetSend checks that no gateway with a valid view sends to a back end that loads weights, while the ordering
+// leader still leads.
 func (o *oracle) checkFleetSend(gateway, instance string) {
 	order, known := o.fleet.loadStarts[instance]
 	if !known || o.w.now()-order.at > sendWindow || o.w.now() <= order.at {
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -59,8 +59,8 @@
 	return max(n.rate, n.later)
 }
 
-// planAdvertisedLimits schedules limit periods in half of all runs. It has its own random source, so that other runs don't
-// change.
+// planAdvertisedLimits schedules limit periods in half of all runs. It has its own random source, so that other runs
+// don't change.
 func (w *world) planAdvertisedLimits() {
 	w.limitRandom = rand.New(rand.NewPCG(w.seed, limitStream))
 	if w.seed/4%2 == 0 {
@@ -82,7 +82,7 @@
 	}
 	all := w.limitRandom.Float64() < allLimitedRatio
 	engine, backend := w.limitRandom.IntN(len(w.engines)), w.limitRandom.IntN(len(w.backends))
-	w.logf("FAULT back ends name a limit of %.2f, then %.2f, until %v; all: %v", period.rate, period.later, period.until, all)
+	w.logf("FAULT back ends advertise a limit of %.2f, then %.2f, until %v; all: %v", period.rate, period.later, period.until, all)
 	for i, e := range w.engines {
 		if all || i == engine {
 			e.advertised = period
