--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -106,10 +106,10 @@
 // proposeQuarantineChange sends a change of the crash registry to control.
 func (g *fleetGateway) proposeQuarantineChange(change quarantine.Change) {
 	request := control.Request{Catalog: &catalog.Command{Quarantine: &change}}
-	record := g.crashes
+	tracker := g.crashes
 	g.asker.ask(request, g.w.now()+quarantineReportTimeout, func(_ control.Response, accepted bool) {
 		if accepted {
-			record.Acknowledge(change.Crashes)
+			tracker.Acknowledge(change.Crashes)
 		}
 	})
 }
