--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -45,13 +45,13 @@
 // faultCutThenKill partitions a replica while changes are made, heals the partition and kills the others at once.
 // Acknowledged changes must survive on their disks, and the outdated replica must not lead without them.
 func (w *world) faultCutThenKill() {
-	outdated := pick(w, w.controls)
+	lagging := pick(w, w.controls)
 	length := w.between(2*time.Second, 6*time.Second)
-	w.after(length, w.partitionZone(outdated.zone))
+	w.after(length, w.partitionZone(lagging.zone))
 	w.recordControlDisturbance(length + calmNeeded)
 	w.after(length+w.between(0, 50*time.Millisecond), func() {
 		for _, n := range w.controls {
-			if n != outdated {
+			if n != lagging {
 				n.die(w.chance(0.5))
 				w.restartControl(n, w.between(200*time.Millisecond, 2*time.Second))
 			}
