--- a/internal/lab/sim/platform.go
+++ b/internal/lab/sim/platform.go
@@ -29,9 +29,9 @@
 // sample records the current machines, without the omitted ones.
 func (p *platform) sample() {
 	var machines []core.Machine
-	add := func(held *process, service string, leaving bool) {
+	add := func(held *process, service string, draining bool) {
 		if !p.omitted[held.name] {
-			machines = append(machines, core.Machine{Name: held.name, Zone: held.zone, Service: service, Address: held.name, Leaving: leaving})
+			machines = append(machines, core.Machine{Name: held.name, Zone: held.zone, Service: service, Address: held.name, Leaving: draining})
 		}
 	}
 	for _, e := range p.w.engines {
