--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -99,7 +99,7 @@
 // knew the limit.
 type limitedIncarnation struct {
 	learnedAt map[string]time.Duration // when each process first learned of the limit
-	sends     []time.Duration          // in ascending order
+	sentAt    []time.Duration          // in ascending order
 }
 
 // limitOracle records requests by incarnation and start of its limit period.
@@ -131,10 +131,10 @@
 	if learnedAt, known := incarnation.learnedAt[p.sender]; !known || now < learnedAt+limitLearnDelay {
 		return
 	}
-	incarnation.sends = window.Add(incarnation.sends, now)
+	incarnation.sentAt = window.Add(incarnation.sentAt, now)
 	allowed := window.Allowed(n.highest(now-window.Length-limitChangeGrace, now))
-	if now >= n.from+limitGrace && float64(len(incarnation.sends)) > allowed {
-		o.fail(LimitKept, "%s got %d requests in %v from processes that knew its limit, %.1f allowed, the last from %s", p.backend, len(incarnation.sends), window.Length, allowed, p.sender)
+	if now >= n.from+limitGrace && float64(len(incarnation.sentAt)) > allowed {
+		o.fail(LimitKept, "%s got %d requests in %v from processes that knew its limit, %.1f allowed, the last from %s", p.backend, len(incarnation.sentAt), window.Length, allowed, p.sender)
 	}
 }
 
