--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -118,7 +118,7 @@
 	run := &exchange{job: j, router: router, next: resumeFrom, resumeFrom: resumeFrom}
 	c.w.oracle.requests++
 	if !router.up {
-		c.after(refusalDelay, func() { c.again(run, 100*time.Millisecond) })
+		c.after(refusedCallDelay, func() { c.again(run, 100*time.Millisecond) })
 		return
 	}
 	run.toCaller = c.w.newStream(router.process, c.process)
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	callerZone     = "callers"  // callers reach every zone
-	platformZone   = "platform" // the machine list reaches every zone, too
-	refusalDelay   = 2 * time.Millisecond
-	resendInterval = 100 * time.Millisecond
-	localLatency   = 200 * time.Microsecond
-	zoneLatency    = 1500 * time.Microsecond
-	callLossRatio  = 0.001 // share of calls whose connection breaks in a healthy network
+	callerZone       = "callers"  // callers reach every zone
+	platformZone     = "platform" // the machine list reaches every zone, too
+	refusedCallDelay = 2 * time.Millisecond
+	resendInterval   = 100 * time.Millisecond
+	localLatency     = 200 * time.Microsecond
+	zoneLatency      = 1500 * time.Microsecond
+	callLossRatio    = 0.001 // share of calls whose connection breaks in a healthy network
 )
 
 // network is the state of the simulated network.
@@ -72,7 +72,7 @@
 func (w *world) call(from, to *process, timeout time.Duration, serve func(respond func(answer func())), failed func(refused bool)) {
 	c := &call{w: w, from: from, to: to, fromGeneration: from.generation, failed: failed}
 	if !to.up {
-		w.after(refusalDelay, func() { c.fail(true) })
+		w.after(refusedCallDelay, func() { c.fail(true) })
 		return
 	}
 	w.after(timeout, func() { c.fail(false) })
