--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -44,7 +44,7 @@
 }
 
 // message sends a message that may be lost, duplicated or reordered.
-func (w *world) message(from, to *process, arrive func()) {
+func (w *world) message(from, to *process, deliver func()) {
 	copies := 1
 	if w.isDegraded() && w.chance(0.1) {
 		copies = 2
@@ -54,7 +54,7 @@
 			continue
 		}
 		generation := to.generation
-		w.after(w.latency(from, to), func() { to.run(generation, arrive) })
+		w.after(w.latency(from, to), func() { to.run(generation, deliver) })
 	}
 }
 
