--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -126,8 +126,8 @@
 	return &stream{w: w, from: from, to: to, toGeneration: to.generation, fromLife: from.generation}
 }
 
-func (s *stream) send(arrive func()) {
-	s.unsent = append(s.unsent, arrive)
+func (s *stream) send(deliver func()) {
+	s.unsent = append(s.unsent, deliver)
 	if len(s.unsent) == 1 {
 		s.flush()
 	}
