--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -138,12 +138,12 @@
 		s.w.after(resendInterval, s.flush)
 		return
 	}
-	for _, arrive := range s.unsent {
+	for _, deliver := range s.unsent {
 		at := max(s.lastArrival, s.w.now()+s.w.latency(s.from, s.to))
 		s.lastArrival = at
 		s.w.after(at-s.w.now(), func() {
 			if !s.closed {
-				s.to.run(s.toGeneration, arrive)
+				s.to.run(s.toGeneration, deliver)
 			}
 		})
 	}
