--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -98,7 +98,7 @@
 	c.from.run(c.fromGeneration, func() { c.failed(refused) })
 }
 
-func (c *call) respond(answer func()) {
+func (c *call) respond(reply func()) {
 	if c.w.lost(c.to, c.from) {
 		return
 	}
@@ -107,7 +107,7 @@
 			return
 		}
 		c.settled = true
-		c.from.run(c.fromGeneration, answer)
+		c.from.run(c.fromGeneration, reply)
 	})
 }
 
