--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -64,7 +64,7 @@
 	w              *world
 	from, to       *process
 	fromGeneration int
-	settled        bool
+	done           bool
 	failed         func(notSent bool)
 }
 
@@ -88,13 +88,13 @@
 
 func (c *call) reset() { c.fail(false) }
 
-func (c *call) ended() bool { return c.settled }
+func (c *call) ended() bool { return c.done }
 
 func (c *call) fail(refused bool) {
-	if c.settled {
+	if c.done {
 		return
 	}
-	c.settled = true
+	c.done = true
 	c.from.run(c.fromGeneration, func() { c.failed(refused) })
 }
 
@@ -103,10 +103,10 @@
 		return
 	}
 	c.w.after(c.w.latency(c.to, c.from), func() {
-		if c.settled {
+		if c.done {
 			return
 		}
-		c.settled = true
+		c.done = true
 		c.from.run(c.fromGeneration, reply)
 	})
 }
