--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -164,7 +164,7 @@
 	}
 	run.over = true
 	run.toCaller.closed = true
-	run.router.run(run.toCaller.fromLife, func() {
+	run.router.run(run.toCaller.fromGeneration, func() {
 		if run.router.waiting[run.id] == run {
 			delete(run.router.waiting, run.id)
 			run.router.post(core.EventCallerGone{ID: run.id})
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -113,17 +113,17 @@
 
 // stream is an ordered connection. As with TCP, messages wait while a partition separates the zones.
 type stream struct {
-	w            *world
-	from, to     *process
-	toGeneration int
-	fromLife     int
-	unsent       []func()
-	lastArrival  time.Duration
-	closed       bool
+	w              *world
+	from, to       *process
+	toGeneration   int
+	fromGeneration int
+	unsent         []func()
+	lastArrival    time.Duration
+	closed         bool
 }
 
 func (w *world) newStream(from, to *process) *stream {
-	return &stream{w: w, from: from, to: to, toGeneration: to.generation, fromLife: from.generation}
+	return &stream{w: w, from: from, to: to, toGeneration: to.generation, fromGeneration: from.generation}
 }
 
 func (s *stream) send(deliver func()) {
