--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -90,12 +90,12 @@
 
 func (c *call) ended() bool { return c.done }
 
-func (c *call) fail(refused bool) {
+func (c *call) fail(notSent bool) {
 	if c.done {
 		return
 	}
 	c.done = true
-	c.from.run(c.fromGeneration, func() { c.failed(refused) })
+	c.from.run(c.fromGeneration, func() { c.failed(notSent) })
 }
 
 func (c *call) respond(reply func()) {
