--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -69,7 +69,7 @@
 }
 
 // call sends a request. serve runs at the callee and replies through respond.
-func (w *world) call(from, to *process, timeout time.Duration, serve func(respond func(answer func())), failed func(notSent bool)) {
+func (w *world) call(from, to *process, timeout time.Duration, serve func(respond func(reply func())), failed func(notSent bool)) {
 	c := &call{w: w, from: from, to: to, fromGeneration: from.generation, failed: failed}
 	if !to.up {
 		w.after(refusedCallDelay, func() { c.fail(true) })
