--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -51,45 +51,45 @@
 
 // measure collects what a run shows. Requests sent before the warm-up ends are not counted.
 type measure struct {
-	run         *run
-	prompt      int
-	hit         int
-	copied      int
-	recomputed  int
-	completed   int
-	refused     int
-	inTime      int
-	all         *hdrhistogram.Histogram
-	interactive *hdrhistogram.Histogram
-	everMade    map[prefix.Hash]bool
-	hitBySecond [][2]int // hit and prompt tokens
-	byCause     [causeCount]float64
+	run            *run
+	prompt         int
+	hit            int
+	copied         int
+	recomputed     int
+	completed      int
+	refused        int
+	inTime         int
+	all            *hdrhistogram.Histogram
+	interactive    *hdrhistogram.Histogram
+	computedBlocks map[prefix.Hash]bool
+	hitBySecond    [][2]int // hit and prompt tokens
+	byCause        [causeCount]float64
 }
 
 func newMeasure(r *run) *measure {
 	return &measure{
-		run: r, everMade: map[prefix.Hash]bool{},
+		run: r, computedBlocks: map[prefix.Hash]bool{},
 		all:         hdrhistogram.New(1, histogramHighest, histogramDigits),
 		interactive: hdrhistogram.New(1, histogramHighest, histogramDigits),
-		hitBySecond: make([][2]int, int(r.options.length()/time.Second)+2),
+		hitBySecond: make([][2]int, int(r.options.totalLength()/time.Second)+2),
 	}
 }
 
 // started counts reuse when an engine begins a job.
-func (m *measure) started(now time.Duration, s *sending, output engine.Output) {
-	again, elsewhere := 0, 0
+func (m *measure) started(now time.Duration, s *attempt, output engine.Output) {
+	recomputed, elsewhere := 0, 0
 	chain := output.Job.Blocks
-	first := output.Cached / m.run.options.grain()
+	first := output.Cached / m.run.options.blockTokens()
 	if first < len(chain) {
-		_, held := m.run.deepestHolder(chain)
+		_, longestCached := m.run.longestCachedPrefix(chain)
 		for i, hash := range chain[first:] {
-			if m.everMade[hash] {
-				again += m.run.options.grain()
-				if first+i < held {
-					elsewhere += m.run.options.grain()
+			if m.computedBlocks[hash] {
+				recomputed += m.run.options.blockTokens()
+				if first+i < longestCached {
+					elsewhere += m.run.options.blockTokens()
 				}
 			}
-			m.everMade[hash] = true
+			m.computedBlocks[hash] = true
 		}
 	}
 	second := int(now / time.Second)
@@ -103,23 +103,23 @@
 	m.prompt += output.Job.PromptTokens
 	m.hit += output.Cached
 	m.copied += output.Imported
-	m.recomputed += again
+	m.recomputed += recomputed
 	m.byCause[causeElsewhere] += float64(elsewhere)
-	m.byCause[causeEvicted] += float64(again - elsewhere)
+	m.byCause[causeEvicted] += float64(recomputed - elsewhere)
 }
 
 func (m *measure) firstToken(now time.Duration, request *pending) {
 	if request.sentAt < warmUp {
 		return
 	}
-	waited := now - request.sentAt
-	_ = m.all.RecordValue(waited.Microseconds()) // the range covers the whole run
-	limit := m.run.deployment.Traffic.LongDeadline
+	ttft := now - request.sentAt
+	_ = m.all.RecordValue(ttft.Microseconds()) // the range covers the whole run
+	deadline := m.run.deployment.Traffic.LongDeadline
 	if request.prompt.Short {
-		_ = m.interactive.RecordValue(waited.Microseconds())
-		limit = m.run.deployment.Traffic.InteractiveDeadline
+		_ = m.interactive.RecordValue(ttft.Microseconds())
+		deadline = m.run.deployment.Traffic.InteractiveDeadline
 	}
-	if waited <= limit {
+	if ttft <= deadline {
 		m.inTime++
 	}
 }
@@ -135,7 +135,7 @@
 	m.refused++
 }
 
-func share(part, whole int) float64 {
+func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
@@ -150,9 +150,9 @@
 func (m *measure) row() Row {
 	row := Row{
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
-		PrefixHitRate: share(m.hit, m.prompt), CopiedShare: share(m.copied, m.prompt),
+		PrefixHitRate: ratio(m.hit, m.prompt), CopiedShare: ratio(m.copied, m.prompt),
 		TTFTP50: milliseconds(m.all, 50), TTFTP99: milliseconds(m.all, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
-		RecomputedTokenShare: share(m.recomputed, m.prompt), RefusedShare: share(m.refused, m.refused+m.completed),
+		RecomputedTokenShare: ratio(m.recomputed, m.prompt), RefusedShare: ratio(m.refused, m.refused+m.completed),
 		Completed: m.completed, Goodput: float64(m.inTime) / (m.run.options.Length - warmUp).Seconds(),
 		firstToken: m.all, byCause: m.byCause, Scale: m.run.options.Scale,
 	}
@@ -160,7 +160,7 @@
 		row.RecomputedElsewhere = m.byCause[causeElsewhere] / float64(m.prompt)
 	}
 	for _, second := range m.hitBySecond {
-		row.hitSeries = append(row.hitSeries, share(second[0], second[1]))
+		row.hitSeries = append(row.hitSeries, ratio(second[0], second[1]))
 	}
 	row.CrashRecovery = m.recovery(m.run.options.crashAt())
 	row.ShiftRecovery = m.recovery(m.run.options.shiftAt())
@@ -168,36 +168,36 @@
 }
 
 const (
-	recoveryWindow = 8   // seconds before an event from which the former level is taken
-	recoverySpan   = 3   // seconds over which the level is smoothed
-	recoveredShare = 0.9 // of the former level
+	recoveryWindow    = 8   // seconds before an event from which the former level is taken
+	recoverySmoothing = 3   // seconds over which the level is smoothed
+	recoveredShare    = 0.9 // of the former level
 )
 
 // recovery returns the seconds from an event until the hit rate is back.
 func (m *measure) recovery(at time.Duration) float64 {
 	second := int(at / time.Second)
-	former := m.level(second-recoveryWindow, second)
+	baseline := m.hitRate(second-recoveryWindow, second)
 	last := int(m.run.options.Length / time.Second)
-	fallen := false
+	dropped := false
 	for end := second + 1; end <= last; end++ {
-		level := m.level(max(second, end-recoverySpan), end)
-		if level < recoveredShare*former {
-			fallen = true
+		level := m.hitRate(max(second, end-recoverySmoothing), end)
+		if level < recoveredShare*baseline {
+			dropped = true
 			continue
 		}
-		if fallen || end-second >= recoverySpan {
+		if dropped || end-second >= recoverySmoothing {
 			return float64(end - second - 1)
 		}
 	}
 	return -1
 }
 
-// level is the hit rate over seconds from first to before last.
-func (m *measure) level(first, last int) float64 {
+// hitRate is the hit rate over seconds from first to before last.
+func (m *measure) hitRate(first, last int) float64 {
 	hit, prompt := 0, 0
 	for second := max(0, first); second < min(last, len(m.hitBySecond)); second++ {
 		hit += m.hitBySecond[second][0]
 		prompt += m.hitBySecond[second][1]
 	}
-	return share(hit, prompt)
+	return ratio(hit, prompt)
 }
--- a/internal/lab/bench/plots.go
+++ b/internal/lab/bench/plots.go
@@ -30,13 +30,13 @@
 }
 
 func rowsOf(rows []Row, policy Policy) []Row {
-	var of []Row
+	var selected []Row
 	for _, row := range rows {
 		if row.Policy == policy {
-			of = append(of, row)
+			selected = append(selected, row)
 		}
 	}
-	return of
+	return selected
 }
 
 func save(p *plot.Plot, folder, name string) error {
@@ -93,7 +93,7 @@
 func plotHitRate(folder, deployment string, rows []Row, options Options) error {
 	p := plot.New()
 	p.Title.Text = deployment + ": prefix hit rate"
-	if options.Disturbed {
+	if options.InjectFaults {
 		p.Title.Text += ", engine crash at " + options.crashAt().String() + ", shift at " + options.shiftAt().String()
 	}
 	p.X.Label.Text, p.Y.Label.Text = "s", "share of prompt tokens"
@@ -136,30 +136,30 @@
 	var names []string
 	var values [causeCount]plotter.Values
 	for _, policy := range Policies() {
-		of := rowsOf(rows, policy)
-		if len(of) == 0 {
+		selected := rowsOf(rows, policy)
+		if len(selected) == 0 {
 			continue
 		}
 		names = append(names, string(policy))
-		for why := range causeCount {
+		for cause := range causeCount {
 			total := 0.0
-			for _, row := range of {
-				total += row.byCause[why]
+			for _, row := range selected {
+				total += row.byCause[cause]
 			}
-			values[why] = append(values[why], total/float64(len(of)))
+			values[cause] = append(values[cause], total/float64(len(selected)))
 		}
 	}
-	var below *plotter.BarChart
-	for why, label := range []string{"held elsewhere", "evicted everywhere"} {
-		bars, err := plotter.NewBarChart(values[why], vg.Points(30))
+	var previous *plotter.BarChart
+	for cause, label := range []string{"held elsewhere", "evicted everywhere"} {
+		bars, err := plotter.NewBarChart(values[cause], vg.Points(30))
 		if err != nil {
 			return eris.Wrap(err, "draw causes")
 		}
-		bars.Color = plotutil.Color(why)
-		if below != nil {
-			bars.StackOn(below)
+		bars.Color = plotutil.Color(cause)
+		if previous != nil {
+			bars.StackOn(previous)
 		}
-		below = bars
+		previous = bars
 		p.Add(bars)
 		p.Legend.Add(label, bars)
 	}
--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -32,8 +32,8 @@
 }
 
 const (
-	// loadBound is the factor over the mean load at which bounded prefix hashing goes on to the next engine.
-	loadBound = 1.25
+	// maxLoadFactor is the factor over the mean load at which bounded prefix hashing goes on to the next engine.
+	maxLoadFactor = 1.25
 )
 
 // placerFor returns the placer of a policy.
@@ -48,7 +48,7 @@
 	case PrefixHash:
 		return prefixHashPlacer{depth: r.options.hashDepth()}
 	case BoundedPrefixHash:
-		return prefixHashPlacer{depth: r.options.hashDepth(), bounded: true}
+		return prefixHashPlacer{depth: r.options.hashDepth(), limitLoad: true}
 	case Clairvoyant:
 		return clairvoyantPlacer{run: r}
 	}
@@ -105,8 +105,8 @@
 // have much more than the mean load.
 type prefixHashPlacer struct {
 	noImports
-	depth   int // blocks of the prompt that are hashed
-	bounded bool
+	depth     int // blocks of the prompt that are hashed
+	limitLoad bool
 }
 
 // Pick returns the candidate with the highest hash that the bound allows.
@@ -124,12 +124,12 @@
 		}
 		return 1
 	})
-	if !p.bounded {
+	if !p.limitLoad {
 		return order[0]
 	}
-	bound := loadBound * float64(total+1) / float64(len(candidates))
+	maxRunning := maxLoadFactor * float64(total+1) / float64(len(candidates))
 	for _, i := range order {
-		if float64(candidates[i].Running) < max(1, bound) {
+		if float64(candidates[i].Running) < max(1, maxRunning) {
 			return i
 		}
 	}
@@ -159,9 +159,9 @@
 func (p clairvoyantPlacer) Pick(context core.PlacementContext, candidates []core.Candidate) int {
 	chain := context.Request.Chains[0].Blocks
 	best := -1
-	source, deepest := p.run.deepestHolder(chain)
+	source, longestCached := p.run.longestCachedPrefix(chain)
 	for i := range candidates {
-		p.correct(context, &candidates[i], source, deepest)
+		p.applyTrueState(context, &candidates[i], source, longestCached)
 		if best < 0 || candidates[i].Cost < candidates[best].Cost {
 			best = i
 		}
@@ -169,31 +169,31 @@
 	return best
 }
 
-func (p clairvoyantPlacer) correct(context core.PlacementContext, candidate *core.Candidate, source string, deepest int) {
+func (p clairvoyantPlacer) applyTrueState(context core.PlacementContext, candidate *core.Candidate, source string, longestCached int) {
 	node := p.run.engines[candidate.Engine]
 	rates := p.run.rates
-	held := node.model.CachedPrefix(context.Request.Chains[0].Blocks)
-	compute := p.tokensLeft(context.Request, held)
-	copied, displaced := time.Duration(0), time.Duration(0)
+	cachedBlocks := node.model.CachedPrefix(context.Request.Chains[0].Blocks)
+	computeTokens := p.uncachedTokens(context.Request, cachedBlocks)
+	importTime, displacedTime := time.Duration(0), time.Duration(0)
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
-	if deepest > held && source != node.name {
-		moved := (deepest - held) * p.run.options.grain()
-		whole := seconds(float64(moved)/rates.ImportTokensPerSecond) + seconds(float64(p.tokensLeft(context.Request, deepest))/rates.PrefillTokensPerSecond)
-		if whole < seconds(float64(compute)/rates.PrefillTokensPerSecond) {
-			candidate.ImportBlocks, candidate.ImportFrom = deepest, source
-			compute, copied = p.tokensLeft(context.Request, deepest), seconds(float64(moved)/rates.ImportTokensPerSecond)
-			displaced = seconds(core.DisplacedFraction * float64(moved) / rates.PrefillTokensPerSecond)
+	if longestCached > cachedBlocks && source != node.name {
+		importTokens := (longestCached - cachedBlocks) * p.run.options.blockTokens()
+		timeWithImport := seconds(float64(importTokens)/rates.ImportTokensPerSecond) + seconds(float64(p.uncachedTokens(context.Request, longestCached))/rates.PrefillTokensPerSecond)
+		if timeWithImport < seconds(float64(computeTokens)/rates.PrefillTokensPerSecond) {
+			candidate.ImportBlocks, candidate.ImportFrom = longestCached, source
+			computeTokens, importTime = p.uncachedTokens(context.Request, longestCached), seconds(float64(importTokens)/rates.ImportTokensPerSecond)
+			displacedTime = seconds(core.DisplacedFraction * float64(importTokens) / rates.PrefillTokensPerSecond)
 		}
 	}
 	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokensPerSecond)
-	work := seconds(float64(compute) / rates.PrefillTokensPerSecond)
-	candidate.Cached, candidate.Uncached = held*p.run.options.grain(), compute
-	candidate.Predicted = wait + work + copied
-	candidate.Cost = context.Values.TimeWeight*candidate.Predicted.Seconds() + context.Values.RecomputeWeight*(work+displaced).Seconds()
+	work := seconds(float64(computeTokens) / rates.PrefillTokensPerSecond)
+	candidate.Cached, candidate.Uncached = cachedBlocks*p.run.options.blockTokens(), computeTokens
+	candidate.Predicted = wait + work + importTime
+	candidate.Cost = context.Values.TimeWeight*candidate.Predicted.Seconds() + context.Values.RecomputeWeight*(work+displacedTime).Seconds()
 }
 
-func (p clairvoyantPlacer) tokensLeft(request *core.Request, blocks int) int {
-	return max(1, request.PromptTokens-blocks*p.run.options.grain())
+func (p clairvoyantPlacer) uncachedTokens(request *core.Request, blocks int) int {
+	return max(1, request.PromptTokens-blocks*p.run.options.blockTokens())
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -16,16 +16,16 @@
 // Compare runs every policy over seeds, several at once, and returns the rows by policy, then seed.
 func Compare(options Options, policies []Policy, firstSeed uint64, seeds int) []Row {
 	rows := make([]Row, len(policies)*seeds)
-	slots := make(chan struct{}, runtime.NumCPU())
-	var runs sync.WaitGroup
-	for at := range rows {
-		slots <- struct{}{}
-		runs.Go(func() {
-			rows[at] = Run(options, policies[at/seeds], firstSeed+uint64(at%seeds))
-			<-slots
+	workers := make(chan struct{}, runtime.NumCPU())
+	var wg sync.WaitGroup
+	for i := range rows {
+		workers <- struct{}{}
+		wg.Go(func() {
+			rows[i] = Run(options, policies[i/seeds], firstSeed+uint64(i%seeds))
+			<-workers
 		})
 	}
-	runs.Wait()
+	wg.Wait()
 	return rows
 }
 
@@ -60,14 +60,14 @@
 func Summarise(rows []Row) []Summary {
 	var summaries []Summary
 	for _, policy := range Policies() {
-		var of []Row
+		var selected []Row
 		for _, row := range rows {
 			if row.Policy == policy {
-				of = append(of, row)
+				selected = append(selected, row)
 			}
 		}
-		if len(of) > 0 {
-			summaries = append(summaries, summarise(policy, of))
+		if len(selected) > 0 {
+			summaries = append(summaries, summarise(policy, selected))
 		}
 	}
 	return summaries
@@ -101,15 +101,15 @@
 	for _, summary := range summaries {
 		fmt.Fprintf(&text, "| %s |", summary.Policy)
 		for _, c := range columns {
-			fmt.Fprintf(&text, " %s ± %s |", figure(*c.value(&summary.Mean)), figure(summary.Spread[c.name]))
+			fmt.Fprintf(&text, " %s ± %s |", formatValue(*c.value(&summary.Mean)), formatValue(summary.Spread[c.name]))
 		}
 		text.WriteString("\n")
 	}
 	return text.String()
 }
 
-// figure prints three significant digits.
-func figure(value float64) string {
+// formatValue prints three significant digits.
+func formatValue(value float64) string {
 	switch size := math.Abs(value); {
 	case size >= 100:
 		return fmt.Sprintf("%.0f", value)
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -13,50 +13,50 @@
 )
 
 const (
-	weights   = "w1"
-	warmUp    = 15 * time.Second
-	drainTime = 15 * time.Second
-	downTime  = 2 * time.Second // of a crashed engine
+	weights      = "w1"
+	warmUp       = 15 * time.Second
+	drainTime    = 15 * time.Second
+	restartDelay = 2 * time.Second // of a crashed engine
 )
 
 type blockList = []prefix.Hash
 
 // Options describe an experiment.
 type Options struct {
-	Deployment *plan.Deployment
-	Tree       settings.Tree
-	Length     time.Duration // requests are sent until then
-	Scale      float64       // of the deployment's request rate
-	Disturbed  bool          // an engine crashes and the hot prefixes shift
-	CrashZone  bool          // all engines of a zone crash instead of one
-	Day        time.Duration // demand follows the sun with days of this length; 0 is not
-	Grain      int           // tokens of a block; 0 is 64
-	HashDepth  int           // blocks that the hash policies place by; 0 takes preamble, template and a part of the document
+	Deployment   *plan.Deployment
+	Tree         settings.Tree
+	Length       time.Duration // requests are sent until then
+	Scale        float64       // of the deployment's request rate
+	InjectFaults bool          // an engine crashes and the hot prefixes shift
+	CrashZone    bool          // all engines of a zone crash instead of one
+	DayLength    time.Duration // demand follows the sun with days of this length; 0 is not
+	BlockTokens  int           // tokens of a block; 0 is 64
+	HashDepth    int           // blocks that the hash policies place by; 0 takes preamble, template and a part of the document
 }
 
-// documentBlocks is how far into the document the hash policies look. Of the depths tried it served them best.
-const documentBlocks = 8
+// hashedDocumentBlocks is how far into the document the hash policies look. Of the depths tried it served them best.
+const hashedDocumentBlocks = 8
 
 func (o Options) hashDepth() int {
 	if o.HashDepth > 0 {
 		return o.HashDepth
 	}
-	return (o.Deployment.Traffic.PreambleTokens+o.Deployment.Traffic.TemplateTokens)/o.grain() + documentBlocks
+	return (o.Deployment.Traffic.PreambleTokens+o.Deployment.Traffic.TemplateTokens)/o.blockTokens() + hashedDocumentBlocks
 }
 
-// usualGrain is the block size of the deployments, in tokens.
-const usualGrain = 64
+// defaultBlockTokens is the block size of the deployments, in tokens.
+const defaultBlockTokens = 64
 
-func (o Options) grain() int {
-	if o.Grain > 0 {
-		return o.Grain
+func (o Options) blockTokens() int {
+	if o.BlockTokens > 0 {
+		return o.BlockTokens
 	}
-	return usualGrain
+	return defaultBlockTokens
 }
 
-func (o Options) length() time.Duration  { return o.Length + drainTime }
-func (o Options) crashAt() time.Duration { return o.Length * 2 / 5 }
-func (o Options) shiftAt() time.Duration { return o.Length * 7 / 10 }
+func (o Options) totalLength() time.Duration { return o.Length + drainTime }
+func (o Options) crashAt() time.Duration     { return o.Length * 2 / 5 }
+func (o Options) shiftAt() time.Duration     { return o.Length * 7 / 10 }
 
 // run is one policy over one seed.
 type run struct {
@@ -83,30 +83,30 @@
 	r := &run{
 		options: options, deployment: options.Deployment, policy: policy, seed: seed, tree: options.Tree,
 		service: options.Deployment.Model.Name, rates: options.Deployment.Rates(), byName: map[string]*engineNode{},
-		byZone: map[string]*routerNode{}, hasher: prefix.NewHasher([prefix.KeyBytes]byte{1}, options.grain(), guard.Set{}),
+		byZone: map[string]*routerNode{}, hasher: prefix.NewHasher([prefix.KeyBytes]byte{1}, options.blockTokens(), guard.Set{}),
 		vault: newVault(options.Deployment.Vault.Blocks), traffic: traffic.New(options.Deployment, seed, options.Scale),
 	}
-	r.rates.CacheBlocks = r.rates.CacheBlocks * usualGrain / options.grain() // the same memory
-	r.vault.limit = r.vault.limit * usualGrain / options.grain()
+	r.rates.CacheBlocks = r.rates.CacheBlocks * defaultBlockTokens / options.blockTokens() // the same memory
+	r.vault.limit = r.vault.limit * defaultBlockTokens / options.blockTokens()
 	r.measure = newMeasure(r)
-	r.traffic.FollowSun(options.Day)
-	r.makeNodes()
-	r.clock.After(time.Second, r.send)
-	if options.Disturbed {
+	r.traffic.FollowSun(options.DayLength)
+	r.createNodes()
+	r.clock.After(time.Second, r.sendNext)
+	if options.InjectFaults {
 		r.clock.After(options.crashAt(), r.crash)
 		r.clock.After(options.shiftAt(), r.traffic.ShiftHotTemplates)
 	}
-	for r.clock.Step(options.length()) {
+	for r.clock.Step(options.totalLength()) {
 	}
 	return r.measure.row()
 }
 
-// makeNodes lays out engines and routers. The clairvoyant policy has one router that sees everything.
-func (r *run) makeNodes() {
+// createNodes lays out engines and routers. The clairvoyant policy has one router that sees everything.
+func (r *run) createNodes() {
 	zones := r.deployment.Zones
 	for i := range r.deployment.Model.Workers {
 		node := &engineNode{run: r, name: engineName(i), zone: zones[i%len(zones)], seed: r.seed*1000 + uint64(i)*7}
-		node.boot()
+		node.start()
 		r.engines = append(r.engines, node)
 		r.byName[node.name] = node
 	}
@@ -118,14 +118,14 @@
 		node := r.newRouter(zone, r.seed*10+uint64(i))
 		r.routers = append(r.routers, node)
 		r.byZone[zone] = node
-		node.boot()
+		node.start()
 	}
 }
 
 func engineName(i int) string { return "engine-" + string(rune('a'+i/10)) + string(rune('0'+i%10)) }
 
-// send passes the next prompt to the router of its zone and plans the one after it.
-func (r *run) send() {
+// sendNext passes the next prompt to the router of its zone and plans the one after it.
+func (r *run) sendNext() {
 	start := r.clock.Now()
 	prompt := r.traffic.Next()
 	if prompt.At >= r.options.Length {
@@ -137,29 +137,29 @@
 			router = r.routers[0]
 		}
 		sentAt := r.clock.Now()
-		r.clock.After(r.deployment.ClientLatency, func() { router.arrive(prompt, sentAt) })
-		r.send()
+		r.clock.After(r.deployment.ClientLatency, func() { router.handlePrompt(prompt, sentAt) })
+		r.sendNext()
 	})
 }
 
 // crash ends one engine, or all of a zone, for a while; they come back empty.
 func (r *run) crash() {
 	if !r.options.CrashZone {
-		r.crashOne(r.engines[int(r.seed)%len(r.engines)])
+		r.crashEngine(r.engines[int(r.seed)%len(r.engines)])
 		return
 	}
 	zone := r.deployment.Zones[int(r.seed)%len(r.deployment.Zones)]
 	for _, node := range r.engines {
 		if node.zone == zone {
-			r.crashOne(node)
+			r.crashEngine(node)
 		}
 	}
 }
 
-func (r *run) crashOne(node *engineNode) {
+func (r *run) crashEngine(node *engineNode) {
 	node.crash()
-	r.clock.After(downTime, func() {
-		node.boot()
+	r.clock.After(restartDelay, func() {
+		node.start()
 		node.advance()
 	})
 }
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -18,15 +18,15 @@
 
 // Roles by which processor time is told apart.
 const (
-	roleControl = "control"
-	roleRouter  = "router"
-	roleHollow  = "hollow" // everything that only stands for others
+	roleControl  = "control"
+	roleRouter   = "router"
+	roleEmulated = "hollow" // everything that only stands for others
 )
 
 const roleLabel = "role"
 
-// as runs something with its processor time counted for a role; goroutines that it starts are counted too.
-func as(role string, run func()) {
+// runWithRole runs something with its processor time counted for a role; goroutines that it starts are counted too.
+func runWithRole(role string, run func()) {
 	pprof.Do(context.Background(), pprof.Labels(roleLabel, role), func(context.Context) { run() })
 }
 
@@ -37,14 +37,14 @@
 }
 
 // measure runs a phase of a length and returns the processor time by role.
-func measure(length time.Duration, during func()) (Usage, error) {
+func measure(duration time.Duration, workload func()) (Usage, error) {
 	var raw bytes.Buffer
 	if err := pprof.StartCPUProfile(&raw); err != nil {
 		return Usage{}, eris.Wrap(err, "start profile")
 	}
 	started := time.Now()
-	during()
-	time.Sleep(time.Until(started.Add(length)))
+	workload()
+	time.Sleep(time.Until(started.Add(duration)))
 	wall := time.Since(started)
 	pprof.StopCPUProfile()
 	parsed, err := profile.Parse(&raw)
@@ -57,7 +57,7 @@
 // byRole sums samples by label and spreads those without one.
 func byRole(parsed *profile.Profile, wall time.Duration) map[string]float64 {
 	cores := map[string]float64{}
-	labelled, other := 0.0, 0.0
+	labelled, unlabelled := 0.0, 0.0
 	for _, sample := range parsed.Sample {
 		seconds := time.Duration(sample.Value[len(sample.Value)-1]).Seconds()
 		if role := sample.Label[roleLabel]; len(role) > 0 {
@@ -65,16 +65,16 @@
 			labelled += seconds
 			continue
 		}
-		other += seconds
+		unlabelled += seconds
 	}
 	for role := range cores {
-		cores[role] *= (1 + other/max(labelled, 1e-9)) / wall.Seconds()
+		cores[role] *= (1 + unlabelled/max(labelled, 1e-9)) / wall.Seconds()
 	}
 	return cores
 }
 
-// heap returns the bytes in use after a collection.
-func heap() float64 {
+// heapInUse returns the bytes in use after a collection.
+func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -82,17 +82,17 @@
 	return float64(stats.HeapAlloc)
 }
 
-// counter counts the bytes and connections that pass.
-type counter struct {
+// trafficCounter counts the bytes and connections that pass.
+type trafficCounter struct {
 	in, out atomic.Int64
 }
 
-func (c *counter) total() float64 { return float64(c.in.Load() + c.out.Load()) }
+func (c *trafficCounter) total() float64 { return float64(c.in.Load() + c.out.Load()) }
 
 // countedConn counts what passes through a connection.
 type countedConn struct {
 	net.Conn
-	counter *counter
+	counter *trafficCounter
 }
 
 // Read reads and counts.
@@ -110,7 +110,7 @@
 }
 
 // dial makes connections that are counted.
-func (c *counter) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (c *trafficCounter) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	connection, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 // countedListener counts what passes through accepted connections.
 type countedListener struct {
 	net.Listener
-	counter *counter
+	counter *trafficCounter
 }
 
 // Accept accepts a connection that is counted.
@@ -134,7 +134,7 @@
 }
 
 // listen opens a counted listener on a free loopback port.
-func (c *counter) listen() (net.Listener, error) {
+func (c *trafficCounter) listen() (net.Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, eris.Wrap(err, "listen on loopback")
--- a/internal/lab/scale/router.go
+++ b/internal/lab/scale/router.go
@@ -26,25 +26,25 @@
 )
 
 const (
-	serviceName = "model"
-	apiKey      = "scale-key"
-	readyLimit  = 20 * time.Second
+	serviceName  = "model"
+	apiKey       = "scale-key"
+	readyTimeout = 20 * time.Second
 )
 
-// hollowEngines answer polls and attempts without any model behind them.
-type hollowEngines struct {
-	counter  counter
+// emulatedEngines answer polls and attempts without any model behind them.
+type emulatedEngines struct {
+	counter  trafficCounter
 	machines []core.Machine
 	started  time.Time
-	// blockChanges is how many blocks an engine reports as stored, and as many as evicted, each second.
-	blockChanges int
-	tokenEvery   time.Duration
-	platform     string
+	// blockChangesPerSecond is how many blocks an engine reports as stored, and as many as evicted, each second.
+	blockChangesPerSecond int
+	tokenInterval         time.Duration
+	platform              string
 }
 
-// startHollowEngines opens listeners for engines and the machine list.
-func startHollowEngines(ctx context.Context, count, blockChanges int) (*hollowEngines, error) {
-	h := &hollowEngines{started: time.Now(), blockChanges: blockChanges}
+// startEmulatedEngines opens listeners for engines and the machine list.
+func startEmulatedEngines(ctx context.Context, count, blockChanges int) (*emulatedEngines, error) {
+	h := &emulatedEngines{started: time.Now(), blockChangesPerSecond: blockChanges}
 	for i := range count {
 		address, err := h.serve(ctx, i)
 		if err != nil {
@@ -54,7 +54,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathMachines, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, api.MachinesReply{Machines: h.machines}) })
-	listener, err := (&counter{}).listen()
+	listener, err := (&trafficCounter{}).listen()
 	if err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 }
 
 func serveUntil(ctx context.Context, server *http.Server, serve func(*http.Server)) {
-	go as(roleHollow, func() { serve(server) })
+	go runWithRole(roleEmulated, func() { serve(server) })
 	go func() {
 		<-ctx.Done()
 		_ = server.Close()
@@ -75,7 +75,7 @@
 	_ = json.NewEncoder(w).Encode(value) // the connection may be gone
 }
 
-func (h *hollowEngines) serve(ctx context.Context, number int) (string, error) {
+func (h *emulatedEngines) serve(ctx context.Context, number int) (string, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathState, func(w http.ResponseWriter, r *http.Request) { writeJSON(w, h.state(number, r)) })
 	mux.HandleFunc("GET "+api.PathCache, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, api.CacheReply{Incarnation: 1}) })
@@ -90,24 +90,24 @@
 }
 
 // state reports the events since the caller's sequence: runs of blocks stored and, later, evicted.
-func (h *hollowEngines) state(number int, r *http.Request) api.StateReply {
+func (h *emulatedEngines) state(number int, r *http.Request) api.StateReply {
 	report := core.BackendReport{Incarnation: 1, Weights: "w1", Load: core.Load{PrefillRate: 8000, EvictionAge: 20 * time.Second}}
 	var after uint64
 	_, _ = fmt.Sscan(r.URL.Query().Get("after"), &after) // missing means from the start
-	runs := uint64(time.Since(h.started).Seconds() * float64(h.blockChanges) / runOfBlocks)
-	for sequence := max(after, runs-min(runs, 64)); sequence < runs; sequence++ {
-		event := core.CacheEvent{Sequence: sequence, Stored: chainNumber(number*1_000_000+int(sequence), runOfBlocks)}
+	newest := uint64(time.Since(h.started).Seconds() * float64(h.blockChangesPerSecond) / eventBlocks)
+	for sequence := max(after, newest-min(newest, 64)); sequence < newest; sequence++ {
+		event := core.CacheEvent{Sequence: sequence, Stored: makeChain(number*1_000_000+int(sequence), eventBlocks)}
 		if sequence > 50 {
-			event.Evicted = chainNumber(number*1_000_000+int(sequence-50), runOfBlocks)
+			event.Evicted = makeChain(number*1_000_000+int(sequence-50), eventBlocks)
 		}
 		report.Events = append(report.Events, event)
 	}
-	report.NextSequence = runs
+	report.NextSequence = newest
 	return api.StateReply{Report: report}
 }
 
 // generate streams the wanted number of tokens.
-func (h *hollowEngines) generate(w http.ResponseWriter, r *http.Request) {
+func (h *emulatedEngines) generate(w http.ResponseWriter, r *http.Request) {
 	var request api.GenerateRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil {
 		http.Error(w, "bad request", http.StatusBadRequest)
@@ -123,7 +123,7 @@
 	write(api.GenerateEvent{Kind: api.GenerateStarted, Incarnation: 1})
 	for index := request.ResumeFrom; index < request.MaxTokens && r.Context().Err() == nil; index++ {
 		write(api.GenerateEvent{Kind: api.GenerateToken, Index: index, Text: "word "})
-		time.Sleep(h.tokenEvery)
+		time.Sleep(h.tokenInterval)
 	}
 	write(api.GenerateEvent{Kind: api.GenerateDone, Index: request.MaxTokens})
 }
@@ -136,24 +136,24 @@
 	}
 	file := &node.File{Name: "router", Zone: "z", DataDir: filepath.Join(folder, "router"), ClusterToken: clusterToken, AdminToken: clusterToken,
 		Router: &node.Router{Listen: listen, Control: g.addresses, Platform: platform, PrefixKey: strings.Repeat("01", prefix.KeyBytes), BlockTokens: 64,
-			IndexBlocks: 2_000_000, PollInterval: 100 * time.Millisecond, HeartbeatInterval: heartbeatEvery, DrainTimeout: time.Second, MaxConnections: 10_000}}
+			IndexBlocks: 2_000_000, PollInterval: 100 * time.Millisecond, HeartbeatInterval: routerHeartbeatInterval, DrainTimeout: time.Second, MaxConnections: 10_000}}
 	server, err := router.NewServer(ctx, file, zap.NewNop())
 	if err != nil {
 		return "", err
 	}
-	go as(roleRouter, func() { _ = server.Run(ctx) }) // ends with ctx
-	deadline := time.Now().Add(readyLimit)
+	go runWithRole(roleRouter, func() { _ = server.Run(ctx) }) // ends with ctx
+	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
-		if ready(listen, backends) {
+		if isReady(listen, backends) {
 			return listen, nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return "", eris.Errorf("the router was not ready within %v", readyLimit)
+	return "", eris.Errorf("the router was not ready within %v", readyTimeout)
 }
 
-// ready reports whether a router serves and knows every back end.
-func ready(address string, backends int) bool {
+// isReady reports whether a router serves and knows every back end.
+func isReady(address string, backends int) bool {
 	response, err := http.Get("http://" + address + "/readyz")
 	if err != nil {
 		return false
@@ -178,33 +178,33 @@
 	if json.NewDecoder(response.Body).Decode(&status) != nil {
 		return false
 	}
-	up := 0
+	readyBackends := 0
 	for _, backend := range status.Backends {
 		if backend.State == core.BackendReady.String() {
-			up++
+			readyBackends++
 		}
 	}
-	return up >= backends
+	return readyBackends >= backends
 }
 
-// plantTree gives the group a tree in which one tenant may call the hollow service.
-func plantTree(g *group) error {
+// applySettings gives the group a tree in which one tenant may call the hollow service.
+func applySettings(g *group) error {
 	digest := sha256.Sum256([]byte(apiKey))
 	kind, keys, limit := "llm", []string{hex.EncodeToString(digest[:])}, 10_000
 	tree := settings.NewTree()
 	tree.Nodes["/*"] = settings.Overrides{}
 	tree.Nodes["/*/"+serviceName] = settings.Overrides{Kind: &kind, EngineConcurrency: &limit}
 	tree.Nodes["/*/"+serviceName+"/tenant"] = settings.Overrides{APIKeySHA256: &keys}
-	_, err := g.change(settings.DiffEdits(settings.NewTree(), tree)...)
+	_, err := g.changeSettings(settings.DiffEdits(settings.NewTree(), tree)...)
 	return err
 }
 
 // measurePolls measures a router against the number of engines it polls and the blocks they change.
-func measurePolls(ctx context.Context, g *group, report *Report, folder string, sizes []int, blockChanges int, length time.Duration) error {
+func measurePolls(ctx context.Context, g *group, report *Report, folder string, sizes []int, blockChanges int, duration time.Duration) error {
 	var cores, traffic []Point
 	for _, size := range sizes {
 		phase, stop := context.WithCancel(ctx)
-		usage, sent, err := pollPhase(phase, g, filepath.Join(folder, fmt.Sprint(size, "-", blockChanges)), size, blockChanges, length)
+		usage, sent, err := pollPhase(phase, g, filepath.Join(folder, fmt.Sprint(size, "-", blockChanges)), size, blockChanges, duration)
 		stop()
 		if err != nil {
 			return err
@@ -213,14 +213,14 @@
 		traffic = append(traffic, Point{float64(size), sent / usage.Wall.Seconds()})
 		time.Sleep(200 * time.Millisecond)
 	}
-	what := fmt.Sprintf("polling 10 times a second, %d blocks stored and evicted a second on each", blockChanges)
-	report.add(roleRouter, "processor time, "+what, "cores", "engine", cores)
-	report.add(roleRouter, "bytes, "+what, "bytes/s", "engine", traffic)
+	conditions := fmt.Sprintf("polling 10 times a second, %d blocks stored and evicted a second on each", blockChanges)
+	report.addSlope(roleRouter, "processor time, "+conditions, "cores", "engine", cores)
+	report.addSlope(roleRouter, "bytes, "+conditions, "bytes/s", "engine", traffic)
 	return nil
 }
 
-func pollPhase(ctx context.Context, g *group, folder string, size, blockChanges int, length time.Duration) (Usage, float64, error) {
-	engines, err := startHollowEngines(ctx, size, blockChanges)
+func pollPhase(ctx context.Context, g *group, folder string, size, blockChanges int, duration time.Duration) (Usage, float64, error) {
+	engines, err := startEmulatedEngines(ctx, size, blockChanges)
 	if err != nil {
 		return Usage{}, 0, err
 	}
@@ -228,7 +228,7 @@
 		return Usage{}, 0, err
 	}
 	before := engines.counter.total()
-	usage, err := measure(length, func() {})
+	usage, err := measure(duration, func() {})
 	return usage, engines.counter.total() - before, err
 }
 
@@ -270,18 +270,18 @@
 	return first, scanner.Err()
 }
 
-// drive sends requests at a rate for a time and returns the times to first token, sorted.
-func drive(rate int, length time.Duration, one func(number int) (time.Duration, error)) ([]time.Duration, int) {
+// sendAtRate sends requests at a rate for a time and returns the times to first token, sorted.
+func sendAtRate(rate int, duration time.Duration, send func(number int) (time.Duration, error)) ([]time.Duration, int) {
 	var mutex sync.Mutex
 	var times []time.Duration
 	failures := 0
 	var requests sync.WaitGroup
 	started := time.Now()
-	for number := range int(length.Seconds() * float64(rate)) {
+	for number := range int(duration.Seconds() * float64(rate)) {
 		time.Sleep(time.Until(started.Add(time.Duration(number) * time.Second / time.Duration(rate))))
 		requests.Go(func() {
-			as(roleHollow, func() {
-				took, err := one(number)
+			runWithRole(roleEmulated, func() {
+				took, err := send(number)
 				mutex.Lock()
 				defer mutex.Unlock()
 				if err != nil {
@@ -297,9 +297,9 @@
 	return times, failures
 }
 
-func quantile(times []time.Duration, share float64) float64 {
+func quantile(times []time.Duration, q float64) float64 {
 	if len(times) == 0 {
 		return 0
 	}
-	return times[min(len(times)-1, int(share*float64(len(times))))].Seconds() * 1000
+	return times[min(len(times)-1, int(q*float64(len(times))))].Seconds() * 1000
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	herdSize       = 300
-	claimClients   = 64
-	claimTime      = 2 * time.Second // less than a lease: the claiming session is not renewed
-	steadyRequests = 100_000
-	steadyRate     = 900
+	simultaneousRouters = 300
+	claimClients        = 64
+	claimDuration       = 2 * time.Second // less than a lease: the claiming session is not renewed
+	heapGrowthRequests  = 100_000
+	heapGrowthRate      = 900
 )
 
 // Run measures every role. A quick run takes less than a minute; a long one takes longer phases and more sizes.
 func Run(ctx context.Context, quick bool) (*Report, error) {
 	report := &Report{Quick: quick, Cores: runtime.NumCPU()}
-	length := 1200 * time.Millisecond
+	phaseDuration := 1200 * time.Millisecond
 	nodes, engines := []int{40, 120, 320}, []int{30, 100, 200}
 	if !quick {
-		length = 10 * time.Second
+		phaseDuration = 10 * time.Second
 		nodes, engines = []int{40, 80, 160, 320}, []int{30, 100, 200, 300}
 	}
 	measureIndex(report, []int{100_000, 400_000, 1_000_000})
@@ -42,46 +42,46 @@
 	defer os.RemoveAll(folder)
 	run, stop := context.WithCancel(ctx)
 	defer stop()
-	return report, measureProcesses(run, report, folder, nodes, engines, length)
+	return report, measureProcesses(run, report, folder, nodes, engines, phaseDuration)
 }
 
 // measureProcesses runs the phases with real control replicas and routers.
-func measureProcesses(ctx context.Context, report *Report, folder string, nodes, engines []int, length time.Duration) error {
-	idle, err := startHollowEngines(ctx, 0, 0)
+func measureProcesses(ctx context.Context, report *Report, folder string, nodes, engines []int, phaseDuration time.Duration) error {
+	noEngines, err := startEmulatedEngines(ctx, 0, 0)
 	if err != nil {
 		return err
 	}
-	g, err := startGroup(ctx, folder, idle.platform)
+	g, err := startGroup(ctx, folder, noEngines.platform)
 	if err != nil {
 		return err
 	}
-	if err := plantTree(g); err != nil {
+	if err := applySettings(g); err != nil {
 		return err
 	}
-	if err := measurePolls(ctx, g, report, filepath.Join(folder, "polls"), engines, 0, length); err != nil {
+	if err := measurePolls(ctx, g, report, filepath.Join(folder, "polls"), engines, 0, phaseDuration); err != nil {
 		return err
 	}
-	if err := measurePolls(ctx, g, report, filepath.Join(folder, "changes"), engines, 30, length); err != nil {
+	if err := measurePolls(ctx, g, report, filepath.Join(folder, "changes"), engines, 30, phaseDuration); err != nil {
 		return err
 	}
-	if err := measureDataPath(ctx, g, report, filepath.Join(folder, "path"), length); err != nil {
+	if err := measureDataPath(ctx, g, report, filepath.Join(folder, "path"), phaseDuration); err != nil {
 		return err
 	}
-	if err := measureClaims(g, report, claimClients, claimTime); err != nil {
+	if err := measureClaims(g, report, claimClients, claimDuration); err != nil {
 		return err
 	}
-	hollow, err := measureNodes(g, report, nodes, length)
+	routers, err := measureNodes(g, report, nodes, phaseDuration)
 	if err != nil {
 		return err
 	}
-	if err := measureChanges(g, hollow, report, 10); err != nil {
+	if err := measureChanges(g, routers, report, 10); err != nil {
 		return err
 	}
-	measureHerd(g, report, herdSize)
+	measureSimultaneousStart(g, report, simultaneousRouters)
 	return measureLeaderLoss(g, report)
 }
 
-func measureDataPath(ctx context.Context, g *group, report *Report, folder string, length time.Duration) error {
+func measureDataPath(ctx context.Context, g *group, report *Report, folder string, phaseDuration time.Duration) error {
 	phase, stop := context.WithCancel(ctx)
 	defer stop()
 	path, err := startDataPath(phase, g, folder)
@@ -91,10 +91,10 @@
 	if err := path.measureLatency(report, 3, time.Second); err != nil {
 		return err
 	}
-	if err := path.measureGaps(report, 40, time.Second); err != nil {
+	if err := path.measureTokenIntervals(report, 40, time.Second); err != nil {
 		return err
 	}
-	if err := path.measureWork(report, []int{50, 100, 200}, []int{5, 50, 100}, length/2); err != nil {
+	if err := path.measureProcessorTime(report, []int{50, 100, 200}, []int{5, 50, 100}, phaseDuration/2); err != nil {
 		return err
 	}
 	if report.Quick {
@@ -103,5 +103,5 @@
 	if err := path.measureStreams(report, []int{500, 1000, 2000}, 10*time.Second); err != nil {
 		return err
 	}
-	return path.measureSteady(report, steadyRate, steadyRequests)
+	return path.measureHeapGrowth(report, heapGrowthRate, heapGrowthRequests)
 }
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -12,10 +12,10 @@
 	"kitetiller/internal/settings"
 )
 
-const runOfBlocks = 24 // blocks that one event stores or evicts
+const eventBlocks = 24 // blocks that one event stores or evicts
 
-// chainNumber returns one of many different chains.
-func chainNumber(number, length int) []prefix.Hash {
+// makeChain returns one of many different chains.
+func makeChain(number, length int) []prefix.Hash {
 	chain := make([]prefix.Hash, length)
 	for i := range chain {
 		binary.LittleEndian.PutUint64(chain[i][:], uint64(number)*0x9e3779b97f4a7c15+1)
@@ -28,51 +28,51 @@
 func measureIndex(report *Report, sizes []int) {
 	var memory, change []Point
 	for _, size := range sizes {
-		before := heap()
+		before := heapInUse()
 		index := prefix.NewIndex(2 * size)
-		for number := range size / runOfBlocks {
-			index.Add(prefix.EngineID(number%300), chainNumber(number, runOfBlocks), 0, prefix.SourceEvent)
+		for number := range size / eventBlocks {
+			index.Add(prefix.EngineID(number%300), makeChain(number, eventBlocks), 0, prefix.SourceEvent)
 		}
-		memory = append(memory, Point{float64(index.Len()), heap() - before})
-		runs := size / runOfBlocks / 2
+		memory = append(memory, Point{float64(index.Len()), heapInUse() - before})
+		changes := size / eventBlocks / 2
 		started := time.Now()
-		for number := range runs {
-			index.Remove(prefix.EngineID(number%300), chainNumber(number, runOfBlocks))
-			index.Add(prefix.EngineID(number%300), chainNumber(number+size, runOfBlocks), time.Second, prefix.SourceEvent)
+		for number := range changes {
+			index.Remove(prefix.EngineID(number%300), makeChain(number, eventBlocks))
+			index.Add(prefix.EngineID(number%300), makeChain(number+size, eventBlocks), time.Second, prefix.SourceEvent)
 		}
-		change = append(change, Point{float64(index.Len()), time.Since(started).Seconds() * 1e6 / float64(2*runs*runOfBlocks)})
+		change = append(change, Point{float64(index.Len()), time.Since(started).Seconds() * 1e6 / float64(2*changes*eventBlocks)})
 	}
-	report.add("prefix index", "memory", "bytes", "believed block", memory)
-	report.add("prefix index", "processor time of one block change", "us", "believed block", change)
-	report.figure("prefix index", fmt.Sprintf("processor time of one block change at %.0f blocks", change[len(change)-1].Size), "us", change[len(change)-1].Value)
+	report.addSlope("prefix index", "memory", "bytes", "believed block", memory)
+	report.addSlope("prefix index", "processor time of one block change", "us", "believed block", change)
+	report.addFigure("prefix index", fmt.Sprintf("processor time of one block change at %.0f blocks", change[len(change)-1].Size), "us", change[len(change)-1].Value)
 }
 
 // measureLedger measures the memory and the snapshot of a run record.
 func measureLedger(report *Report, sizes []int) error {
 	var memory, snapshot []Point
 	for _, size := range sizes {
-		before := heap()
-		book := ledger.New()
+		before := heapInUse()
+		runLedger := ledger.New()
 		for i := range size {
 			key := ledger.Key{Tenant: "rwanda-university", Service: "app-service", Key: fmt.Sprintf("transcript-%08d", i)}
 			id := fmt.Sprintf("router-1-%d-%d", 7, i)
-			book.Claim(ledger.Claim{Key: key, Digest: uint64(i), ClaimID: id, Holder: ledger.Holder{Router: "router-1", Epoch: 7}, RetentionMS: 86_400_000}, 0, true)
-			book.End(ledger.End{Key: key, ClaimID: id, Kind: ledger.EndFinished, Response: &ledger.Response{Status: 200, ContentType: "application/json", Body: []byte(`{"confirmed":"54a9b2526a9cd9a1"}`)}}, 0)
+			runLedger.Claim(ledger.Claim{Key: key, Digest: uint64(i), ClaimID: id, Holder: ledger.Holder{Router: "router-1", Epoch: 7}, RetentionMS: 86_400_000}, 0, true)
+			runLedger.End(ledger.End{Key: key, ClaimID: id, Kind: ledger.EndFinished, Response: &ledger.Response{Status: 200, ContentType: "application/json", Body: []byte(`{"confirmed":"54a9b2526a9cd9a1"}`)}}, 0)
 		}
-		memory = append(memory, Point{float64(size), heap() - before})
-		data, err := json.Marshal(book)
+		memory = append(memory, Point{float64(size), heapInUse() - before})
+		data, err := json.Marshal(runLedger)
 		if err != nil {
 			return err
 		}
 		snapshot = append(snapshot, Point{float64(size), float64(len(data))})
 	}
-	report.add("ledger", "memory", "bytes", "kept answer", memory)
-	report.add("ledger", "snapshot on disk", "bytes", "kept answer", snapshot)
+	report.addSlope("ledger", "memory", "bytes", "kept answer", memory)
+	report.addSlope("ledger", "snapshot on disk", "bytes", "kept answer", snapshot)
 	return nil
 }
 
-// tenantTree makes a tree with tenants under services.
-func tenantTree(tenants, services int) settings.Tree {
+// makeSettingsTree makes a tree with tenants under services.
+func makeSettingsTree(tenants, services int) settings.Tree {
 	tree := settings.NewTree()
 	for s := range services {
 		service := settings.Path(fmt.Sprintf("/*/model-%d", s))
@@ -89,26 +89,26 @@
 
 // measureTree measures the tree: memory and size of a snapshot by tenant, and the time to resolve a place.
 func measureTree(report *Report, sizes []int, services int) error {
-	var memory, wire []Point
+	var memory, encoded []Point
 	var tree settings.Tree
 	for _, size := range sizes {
-		before := heap()
-		tree = tenantTree(size, services)
-		memory = append(memory, Point{float64(size), heap() - before})
+		before := heapInUse()
+		tree = makeSettingsTree(size, services)
+		memory = append(memory, Point{float64(size), heapInUse() - before})
 		data, err := json.Marshal(tree)
 		if err != nil {
 			return err
 		}
-		wire = append(wire, Point{float64(size), float64(len(data))})
+		encoded = append(encoded, Point{float64(size), float64(len(data))})
 	}
-	report.add("settings tree", "memory", "bytes", "tenant", memory)
-	report.add("settings tree", "whole tree on the wire", "bytes", "tenant", wire)
+	report.addSlope("settings tree", "memory", "bytes", "tenant", memory)
+	report.addSlope("settings tree", "whole tree on the wire", "bytes", "tenant", encoded)
 	const rounds = 2000
 	started := time.Now()
 	for i := range rounds {
 		tree.Resolve("z", "model-1", fmt.Sprintf("tenant-%d", i%100))
 	}
-	report.figure("settings tree", "time to resolve a place, not yet cached", "us", time.Since(started).Seconds()*1e6/rounds)
+	report.addFigure("settings tree", "time to resolve a place, not yet cached", "us", time.Since(started).Seconds()*1e6/rounds)
 	edits := []settings.Edit{{Path: "/", Setting: "queue_limit", Value: json.RawMessage("77")}}
 	started = time.Now()
 	for range 20 {
@@ -116,7 +116,7 @@
 			panic("scale: edit is refused: " + problems[0].String())
 		}
 	}
-	report.figure("settings tree", fmt.Sprintf("time to apply and check a change, %d tenants", sizes[len(sizes)-1]), "ms", time.Since(started).Seconds()*1000/20)
+	report.addFigure("settings tree", fmt.Sprintf("time to apply and check a change, %d tenants", sizes[len(sizes)-1]), "ms", time.Since(started).Seconds()*1000/20)
 	return nil
 }
 
@@ -126,8 +126,8 @@
 	for _, size := range sizes {
 		points = append(points, Point{float64(size), decisionTime(size, rounds)})
 	}
-	report.add("router decision", "processor time", "us", "engine of the service", points)
-	report.figure("router decision", fmt.Sprintf("processor time at %d engines", sizes[len(sizes)-1]), "us", points[len(points)-1].Value)
+	report.addSlope("router decision", "processor time", "us", "engine of the service", points)
+	report.addFigure("router decision", fmt.Sprintf("processor time at %d engines", sizes[len(sizes)-1]), "us", points[len(points)-1].Value)
 }
 
 // decisionTime returns microseconds from a request's arrival to its dispatch.
@@ -145,14 +145,14 @@
 	for i := range engines {
 		c.Tick(0, []core.Event{core.EventBackendPoll{Name: fmt.Sprint(i), Report: &core.BackendReport{Incarnation: 1, Weights: "w", Load: core.Load{PrefillRate: 8000}}}})
 	}
-	var spent time.Duration
+	var total time.Duration
 	for i := range rounds {
 		request := core.Request{ID: core.RequestID(i + 1), Tenant: "t", Service: "s", PromptTokens: 60 * 64, MaxTokens: 8,
-			Chains: []core.Chain{{Weights: "w", Blocks: chainNumber(i%500, 60)}}}
+			Chains: []core.Chain{{Weights: "w", Blocks: makeChain(i%500, 60)}}}
 		started := time.Now()
 		c.Tick(time.Duration(i)*20*time.Microsecond, []core.Event{core.EventRequest{Request: request}})
-		spent += time.Since(started)
+		total += time.Since(started)
 		c.Tick(time.Duration(i)*20*time.Microsecond, []core.Event{core.EventCallerGone{ID: request.ID}})
 	}
-	return spent.Seconds() * 1e6 / float64(rounds)
+	return total.Seconds() * 1e6 / float64(rounds)
 }
