--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -13,34 +13,34 @@
 
 // engineNode is an engine model at an address of its own name.
 type engineNode struct {
-	run   *run
-	name  string
-	zone  string
-	model *engine.Model
-	lives uint64
-	down  bool
-	alarm vtime.Alarm
-	seed  uint64
+	run         *run
+	name        string
+	zone        string
+	model       *engine.Model
+	incarnation uint64
+	down        bool
+	alarm       vtime.Alarm
+	seed        uint64
 
-	underWay      int // prompt tokens sent, not arrived yet
-	underWayQuick int // the same for the interactive lane
+	inFlightTokens            int // prompt tokens sent, not arrived yet
+	inFlightInteractiveTokens int // the same for the interactive lane
 }
 
-// sending joins a job to the router and the request it belongs to.
-type sending struct {
-	router  *routerNode
-	request *pending
-	attempt core.AttemptID
-	tokens  int
-	lane    core.Lane
-	over    bool
+// attempt joins a job to the router and the request it belongs to.
+type attempt struct {
+	router    *routerNode
+	request   *pending
+	attempt   core.AttemptID
+	tokens    int
+	lane      core.Lane
+	cancelled bool
 }
 
-func (e *engineNode) boot() {
-	e.lives++
+func (e *engineNode) start() {
+	e.incarnation++
 	e.down = false
-	e.model = engine.New(e.name, e.lives, weights, e.run.rates, e.run.options.grain(), e.seed+e.lives, guard.Set{})
-	e.model.Import = e.run.importFrom
+	e.model = engine.New(e.name, e.incarnation, weights, e.run.rates, e.run.options.blockTokens(), e.seed+e.incarnation, guard.Set{})
+	e.model.Import = e.run.exportablePrefix
 	e.alarm = vtime.Alarm{}
 }
 
@@ -48,7 +48,7 @@
 func (e *engineNode) crash() {
 	e.down = true
 	for _, router := range e.run.routers {
-		router.breakSendings(e)
+		router.breakAttempts(e)
 	}
 }
 
@@ -57,25 +57,25 @@
 	e.advance()
 	load := e.model.CurrentLoad()
 	if lane == core.LaneInteractive {
-		return load.InteractiveTokens + e.underWayQuick
+		return load.InteractiveTokens + e.inFlightInteractiveTokens
 	}
-	return load.WaitingTokens + e.underWay
+	return load.WaitingTokens + e.inFlightTokens
 }
 
-func (e *engineNode) count(s *sending, sign int) {
-	e.underWay += sign * s.tokens
+func (e *engineNode) adjustInFlight(s *attempt, sign int) {
+	e.inFlightTokens += sign * s.tokens
 	if s.lane == core.LaneInteractive {
-		e.underWayQuick += sign * s.tokens
+		e.inFlightInteractiveTokens += sign * s.tokens
 	}
 }
 
-// busyRest is how long an engine that is full wants nothing.
-const busyRest = 100 * time.Millisecond
+// queueFullBackoff is how long an engine that is full wants nothing.
+const queueFullBackoff = 100 * time.Millisecond
 
-// arrive takes a job when it has come over the network.
-func (e *engineNode) arrive(action core.ActionDispatch, s *sending) {
-	e.count(s, -1)
-	if s.over {
+// submit takes a job when it has come over the network.
+func (e *engineNode) submit(action core.ActionDispatch, s *attempt) {
+	e.adjustInFlight(s, -1)
+	if s.cancelled {
 		return
 	}
 	if e.down {
@@ -94,7 +94,7 @@
 	case engine.AcceptedWithoutReuse:
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 	default:
-		s.router.pass(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Signals: pushback.Signals{Backoff: busyRest}})
+		s.router.sendPushback(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Signals: pushback.Signals{Backoff: queueFullBackoff}})
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 	}
 	e.advance()
@@ -107,22 +107,22 @@
 	}
 	now := e.run.clock.Now()
 	for _, output := range e.model.Advance(now) {
-		e.output(output)
+		e.handleOutput(output)
 	}
-	due, any := e.model.NextWakeup()
-	if !any {
+	due, ok := e.model.NextWakeup()
+	if !ok {
 		return
 	}
-	life := e.lives
+	incarnation := e.incarnation
 	e.alarm.Set(now, due, time.Microsecond, e.run.clock.After, func() {
-		if e.lives == life {
+		if e.incarnation == incarnation {
 			e.advance()
 		}
 	})
 }
 
-func (e *engineNode) output(output engine.Output) {
-	s := output.Job.UserData.(*sending)
+func (e *engineNode) handleOutput(output engine.Output) {
+	s := output.Job.UserData.(*attempt)
 	event := core.EventAttempt{Index: output.Index, Cached: output.Cached}
 	switch output.Kind {
 	case engine.OutputStarted:
@@ -132,29 +132,29 @@
 		event.Kind = core.AttemptChunk
 	case engine.OutputDone:
 		event.Kind = core.AttemptDone
-		e.run.keep(s)
+		e.run.storeInVault(s)
 	}
 	s.router.reply(e, s, event)
 }
 
-// deepestHolder returns who holds the longest prefix of a chain, engine or vault.
-func (r *run) deepestHolder(chain []prefix.Hash) (string, int) {
-	source, deepest := "", 0
+// longestCachedPrefix returns who holds the longest prefix of a chain, engine or vault.
+func (r *run) longestCachedPrefix(chain []prefix.Hash) (string, int) {
+	source, longest := "", 0
 	for _, e := range r.engines {
-		if held := e.model.CachedPrefix(chain); !e.down && held > deepest {
-			source, deepest = e.name, held
+		if cached := e.model.CachedPrefix(chain); !e.down && cached > longest {
+			source, longest = e.name, cached
 		}
 	}
-	if held := r.vault.holds(chain); held > deepest {
-		return vaultName, held
+	if cached := r.vault.cachedPrefix(chain); cached > longest {
+		return vaultName, cached
 	}
-	return source, deepest
+	return source, longest
 }
 
-// importFrom tells how much of a chain a source can give.
-func (r *run) importFrom(source string, chain []prefix.Hash) int {
+// exportablePrefix tells how much of a chain a source can give.
+func (r *run) exportablePrefix(source string, chain []prefix.Hash) int {
 	if source == vaultName {
-		return r.vault.holds(chain)
+		return r.vault.cachedPrefix(chain)
 	}
 	for _, e := range r.engines {
 		if e.name == source && !e.down {
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	clusterToken   = "scale"
-	replicas       = 3
-	heartbeat      = 100 * time.Millisecond // of the leader
-	heartbeatEvery = 500 * time.Millisecond // of routers
-	askTimeout     = 5 * time.Second
-	formTimeout    = 20 * time.Second
+	clusterToken            = "scale"
+	replicas                = 3
+	leaderHeartbeatInterval = 100 * time.Millisecond // of the leader
+	routerHeartbeatInterval = 500 * time.Millisecond // of routers
+	requestTimeout          = 5 * time.Second
+	electionTimeout         = 20 * time.Second
 )
 
 // group is a control group of real replicas.
@@ -54,39 +54,39 @@
 		g.addresses = append(g.addresses, internal)
 		name := fmt.Sprintf("control-%d", i+1)
 		files = append(files, &node.File{Name: name, Zone: "z", DataDir: filepath.Join(folder, name), ClusterToken: clusterToken, AdminToken: clusterToken,
-			Control: &node.Control{InternalAddress: internal, Admin: admin, Replicas: replicas, Platform: platform, Heartbeat: heartbeat,
+			Control: &node.Control{InternalAddress: internal, Admin: admin, Replicas: replicas, Platform: platform, Heartbeat: leaderHeartbeatInterval,
 				SettingsLease: 3 * time.Second, RepairAfter: time.Minute, SnapshotEvery: 5000}})
 	}
 	for _, file := range files {
 		file.Control.Founders = g.addresses
-		own, stop := context.WithCancel(ctx)
-		server, err := control.NewServer(own, file, zap.NewNop())
+		serverCtx, stop := context.WithCancel(ctx)
+		server, err := control.NewServer(serverCtx, file, zap.NewNop())
 		if err != nil {
 			stop()
 			return nil, err
 		}
 		g.servers, g.stops = append(g.servers, server), append(g.stops, stop)
-		go as(roleControl, func() { _ = server.Run(own) }) // ends with ctx
+		go runWithRole(roleControl, func() { _ = server.Run(serverCtx) }) // ends with ctx
 	}
 	g.client = control.NewClient(transport.NewClient(clusterToken, nil), g.addresses)
-	_, err := g.ask(formTimeout, control.Request{Read: &control.Read{}})
+	_, err := g.req(electionTimeout, control.Request{Read: &control.Read{}})
 	return g, err
 }
 
-func (g *group) ask(limit time.Duration, request control.Request) (control.Response, error) {
-	ctx, cancel := context.WithTimeout(g.ctx, limit)
+func (g *group) req(timeout time.Duration, request control.Request) (control.Response, error) {
+	ctx, cancel := context.WithTimeout(g.ctx, timeout)
 	defer cancel()
 	return g.client.Ask(ctx, request)
 }
 
-// change makes one edit of the newest version and returns the version it became.
-func (g *group) change(edits ...settings.Edit) (uint64, error) {
-	read, err := g.ask(askTimeout, control.Request{Read: &control.Read{}})
+// changeSettings makes one edit of the newest version and returns the version it became.
+func (g *group) changeSettings(edits ...settings.Edit) (uint64, error) {
+	read, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
 	if err != nil {
 		return 0, err
 	}
 	id := fmt.Sprintf("scale-%d", time.Now().UnixNano())
-	response, err := g.ask(askTimeout, control.Request{Change: &settings.Change{Base: read.Read.Version, OperationID: id, Edits: edits}})
+	response, err := g.req(requestTimeout, control.Request{Change: &settings.Change{Base: read.Read.Version, OperationID: id, Edits: edits}})
 	if err != nil {
 		return 0, err
 	}
@@ -96,10 +96,10 @@
 	return response.Change.Version, nil
 }
 
-// inForce waits until a version is in force everywhere.
-func (g *group) inForce(version uint64) error {
+// waitInForce waits until a version is in force everywhere.
+func (g *group) waitInForce(version uint64) error {
 	for {
-		read, err := g.ask(askTimeout, control.Request{Read: &control.Read{}})
+		read, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
 		if err != nil || read.Read.InForce >= version {
 			return err
 		}
@@ -107,134 +107,134 @@
 	}
 }
 
-// hollowRouters are routers that only renew their sessions.
-type hollowRouters struct {
-	group   *group
-	client  *control.Client
-	counter *counter
-	leased  sync.WaitGroup
-	count   int
-	prefix  string // of the routers' names
+// emulatedRouters are routers that only renew their sessions.
+type emulatedRouters struct {
+	group         *group
+	client        *control.Client
+	counter       *trafficCounter
+	pendingLeases sync.WaitGroup
+	count         int
+	namePrefix    string // of the routers' names
 }
 
-func newHollowRouters(g *group) *hollowRouters {
-	h := &hollowRouters{group: g, counter: &counter{}, prefix: "hollow"}
+func newEmulatedRouters(g *group) *emulatedRouters {
+	h := &emulatedRouters{group: g, counter: &trafficCounter{}, namePrefix: "hollow"}
 	h.client = control.NewClient(transport.NewClientWithDialer(clusterToken, h.counter.dial), g.addresses)
 	return h
 }
 
-// grow adds routers until there are count, and waits until each has a lease.
-func (h *hollowRouters) grow(count int) {
+// addUntil adds routers until there are count, and waits until each has a lease.
+func (h *emulatedRouters) addUntil(count int) {
 	for ; h.count < count; h.count++ {
-		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.prefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, heartbeatEvery, guard.Set{})
-		h.leased.Add(1)
-		go as(roleHollow, func() { h.renew(machine) })
+		machine := session.New(session.Identity{Router: fmt.Sprintf("%s-%d", h.namePrefix, h.count), Incarnation: 1, Zone: "z"}, session.Settings{}, routerHeartbeatInterval, guard.Set{})
+		h.pendingLeases.Add(1)
+		go runWithRole(roleEmulated, func() { h.runSession(machine) })
 	}
-	h.leased.Wait()
+	h.pendingLeases.Wait()
 }
 
-// renew is one hollow router. It takes settings up at once, as if its disk were instant.
-func (h *hollowRouters) renew(machine *session.Machine) {
+// runSession is one hollow router. It takes settings up at once, as if its disk were instant.
+func (h *emulatedRouters) runSession(machine *session.Machine) {
 	started, first := time.Now(), true
 	for h.group.ctx.Err() == nil {
-		beat := machine.Heartbeat()
-		ctx, cancel := context.WithTimeout(h.group.ctx, askTimeout)
-		response, err := h.client.AskOnce(ctx, control.Request{Heartbeat: &beat})
+		heartbeat := machine.Heartbeat()
+		ctx, cancel := context.WithTimeout(h.group.ctx, requestTimeout)
+		response, err := h.client.AskOnce(ctx, control.Request{Heartbeat: &heartbeat})
 		cancel()
-		pause := session.FastHeartbeatInterval
+		wait := session.FastHeartbeatInterval
 		if err == nil && response.Heartbeat != nil {
 			step := machine.HandleReply(time.Since(started), *response.Heartbeat)
-			pause = step.NextHeartbeatIn
+			wait = step.NextHeartbeatIn
 			if step.ToSync != nil {
 				machine.MarkSynced(*step.ToSync)
 			}
 			if response.Heartbeat.Lease > 0 && first {
 				first = false
-				h.leased.Done()
+				h.pendingLeases.Done()
 			}
 		}
-		time.Sleep(pause)
+		time.Sleep(wait)
 	}
 	if first {
-		h.leased.Done()
+		h.pendingLeases.Done()
 	}
 }
 
 // measureNodes measures control against the number of nodes.
-func measureNodes(g *group, report *Report, sizes []int, length time.Duration) (*hollowRouters, error) {
-	hollow := newHollowRouters(g)
+func measureNodes(g *group, report *Report, sizes []int, length time.Duration) (*emulatedRouters, error) {
+	routers := newEmulatedRouters(g)
 	var cores, traffic []Point
 	for _, size := range sizes {
-		hollow.grow(size)
-		time.Sleep(heartbeatEvery)
-		before := hollow.counter.total()
+		routers.addUntil(size)
+		time.Sleep(routerHeartbeatInterval)
+		before := routers.counter.total()
 		usage, err := measure(length, func() {})
 		if err != nil {
 			return nil, err
 		}
 		cores = append(cores, Point{float64(size), usage.Cores[roleControl]})
-		traffic = append(traffic, Point{float64(size), (hollow.counter.total() - before) / usage.Wall.Seconds()})
+		traffic = append(traffic, Point{float64(size), (routers.counter.total() - before) / usage.Wall.Seconds()})
 	}
-	report.add(roleControl, "processor time of all three replicas", "cores", "node", cores)
-	report.add(roleControl, "bytes between nodes and control, both ways", "bytes/s", "node", traffic)
-	return hollow, nil
+	report.addSlope(roleControl, "processor time of all three replicas", "cores", "node", cores)
+	report.addSlope(roleControl, "bytes between nodes and control, both ways", "bytes/s", "node", traffic)
+	return routers, nil
 }
 
 // measureChanges measures how long a change takes to be in force on all hollow nodes, and what it sends.
-func measureChanges(g *group, hollow *hollowRouters, report *Report, changes int) error {
+func measureChanges(g *group, routers *emulatedRouters, report *Report, changes int) error {
 	var slowest, total time.Duration
-	before, started := hollow.counter.total(), time.Now()
+	before, started := routers.counter.total(), time.Now()
 	for i := range changes {
-		begun := time.Now()
-		version, err := g.change(settings.Edit{Path: "/", Setting: "queue_limit", Value: json.RawMessage(fmt.Sprint(100 + i))})
+		started := time.Now()
+		version, err := g.changeSettings(settings.Edit{Path: "/", Setting: "queue_limit", Value: json.RawMessage(fmt.Sprint(100 + i))})
 		if err != nil {
 			return err
 		}
-		if err := g.inForce(version); err != nil {
+		if err := g.waitInForce(version); err != nil {
 			return err
 		}
-		took := time.Since(begun)
+		took := time.Since(started)
 		slowest, total = max(slowest, took), total+took
 	}
-	idle := 0.0
+	heartbeatRate := 0.0
 	for _, slope := range report.Slopes {
 		if slope.Unit == "bytes/s" && slope.Per == "node" {
-			idle = slope.Intercept + slope.Slope*float64(hollow.count)
+			heartbeatRate = slope.Intercept + slope.Slope*float64(routers.count)
 		}
 	}
-	sent := hollow.counter.total() - before - idle*time.Since(started).Seconds()
-	report.figure(roleControl, fmt.Sprintf("change until in force on %d nodes, mean", hollow.count), "s", total.Seconds()/float64(changes))
-	report.figure(roleControl, fmt.Sprintf("change until in force on %d nodes, slowest of %d", hollow.count, changes), "s", slowest.Seconds())
-	report.figure(roleControl, "bytes a change sends to a node beyond its heartbeats", "bytes", max(0, sent)/float64(changes)/float64(hollow.count))
+	sent := routers.counter.total() - before - heartbeatRate*time.Since(started).Seconds()
+	report.addFigure(roleControl, fmt.Sprintf("change until in force on %d nodes, mean", routers.count), "s", total.Seconds()/float64(changes))
+	report.addFigure(roleControl, fmt.Sprintf("change until in force on %d nodes, slowest of %d", routers.count, changes), "s", slowest.Seconds())
+	report.addFigure(roleControl, "bytes a change sends to a node beyond its heartbeats", "bytes", max(0, sent)/float64(changes)/float64(routers.count))
 	return nil
 }
 
 // measureClaims measures the run ledger: claims a second at three replicas, and the share of the leader's sync.
 func measureClaims(g *group, report *Report, clients int, length time.Duration) error {
-	beat := control.Heartbeat{Router: "claimer", Incarnation: 1, Zone: "z"}
-	opened, err := g.ask(askTimeout, control.Request{Heartbeat: &beat})
+	heartbeat := control.Heartbeat{Router: "claimer", Incarnation: 1, Zone: "z"}
+	session, err := g.req(requestTimeout, control.Request{Heartbeat: &heartbeat})
 	if err != nil {
 		return err
 	}
-	holder := ledger.Holder{Router: "claimer", Epoch: opened.Heartbeat.Epoch}
+	holder := ledger.Holder{Router: "claimer", Epoch: session.Heartbeat.Epoch}
 	var granted int
 	var mutex sync.Mutex
 	var workers sync.WaitGroup
 	syncs, synced := g.syncTotals()
-	until := time.Now().Add(length)
-	var spent time.Duration
+	deadline := time.Now().Add(length)
+	var totalTime time.Duration
 	for worker := range clients {
 		workers.Go(func() {
-			as(roleHollow, func() {
-				for i := 0; time.Now().Before(until); i++ {
-					begun := time.Now()
+			runWithRole(roleEmulated, func() {
+				for i := 0; time.Now().Before(deadline); i++ {
+					claimedAt := time.Now()
 					claim := ledger.Claim{Key: ledger.Key{Tenant: "t", Service: "s", Key: fmt.Sprintf("%d-%d", worker, i)}, Digest: 1,
 						ClaimID: fmt.Sprintf("%d-%d", worker, i), Holder: holder, RetentionMS: 86_400_000}
-					response, err := g.ask(askTimeout, control.Request{Claim: &claim})
+					response, err := g.req(requestTimeout, control.Request{Claim: &claim})
 					mutex.Lock()
 					if err == nil && response.Claim.Kind == ledger.Granted {
 						granted++
-						spent += time.Since(begun)
+						totalTime += time.Since(claimedAt)
 					}
 					mutex.Unlock()
 				}
@@ -243,10 +243,10 @@
 	}
 	workers.Wait()
 	after, afterTime := g.syncTotals()
-	report.figure(roleControl, fmt.Sprintf("ledger claims a second, three replicas, %d clients", clients), "1/s", float64(granted)/length.Seconds())
-	report.figure(roleControl, "mean time of a claim", "ms", spent.Seconds()*1000/float64(max(1, granted)))
-	report.figure(roleControl, "mean time of one write and sync", "ms", (afterTime-synced).Seconds()*1000/float64(max(1, after-syncs)))
-	report.figure(roleControl, "claims that share one write and sync", "claims", float64(granted)*replicas/float64(max(1, after-syncs)))
+	report.addFigure(roleControl, fmt.Sprintf("ledger claims a second, three replicas, %d clients", clients), "1/s", float64(granted)/length.Seconds())
+	report.addFigure(roleControl, "mean time of a claim", "ms", totalTime.Seconds()*1000/float64(max(1, granted)))
+	report.addFigure(roleControl, "mean time of one write and sync", "ms", (afterTime-synced).Seconds()*1000/float64(max(1, after-syncs)))
+	report.addFigure(roleControl, "claims that share one write and sync", "claims", float64(granted)*replicas/float64(max(1, after-syncs)))
 	return nil
 }
 
@@ -259,20 +259,20 @@
 	return count, time.Duration(nanoseconds)
 }
 
-// measureHerd starts many routers at once and measures the time until each serves by the newest settings.
-func measureHerd(g *group, report *Report, count int) {
-	herd := newHollowRouters(g)
-	herd.prefix = "herd"
+// measureSimultaneousStart starts many routers at once and measures the time until each serves by the newest settings.
+func measureSimultaneousStart(g *group, report *Report, count int) {
+	routers := newEmulatedRouters(g)
+	routers.namePrefix = "herd"
 	started := time.Now()
-	herd.grow(count)
+	routers.addUntil(count)
 	took := time.Since(started)
-	report.figure(roleControl, fmt.Sprintf("herd of %d routers starting at once, until all have a lease at the newest settings", count), "s", took.Seconds())
-	report.figure(roleControl, "bytes of the herd, by router", "bytes", herd.counter.total()/float64(count))
+	report.addFigure(roleControl, fmt.Sprintf("herd of %d routers starting at once, until all have a lease at the newest settings", count), "s", took.Seconds())
+	report.addFigure(roleControl, "bytes of the herd, by router", "bytes", routers.counter.total()/float64(count))
 }
 
 // measureLeaderLoss ends the leading replica and measures the time until the next change is accepted.
 func measureLeaderLoss(g *group, report *Report) error {
-	response, err := g.ask(askTimeout, control.Request{Read: &control.Read{}})
+	response, err := g.req(requestTimeout, control.Request{Read: &control.Read{}})
 	if err != nil {
 		return err
 	}
@@ -284,11 +284,11 @@
 		}
 	}
 	change := settings.Change{Base: version, OperationID: "after-loss", Edits: []settings.Edit{{Path: "/", Setting: "queue_limit", Value: json.RawMessage("321")}}}
-	if _, err := g.ask(formTimeout, control.Request{Change: &change}); err != nil {
+	if _, err := g.req(electionTimeout, control.Request{Change: &change}); err != nil {
 		return err
 	}
 	took := time.Since(started)
-	report.figure(roleControl, "loss of the leader until the next accepted change", "s", took.Seconds())
-	report.figure(roleControl, "the same in heartbeats", "heartbeats", took.Seconds()/heartbeat.Seconds())
+	report.addFigure(roleControl, "loss of the leader until the next accepted change", "s", took.Seconds())
+	report.addFigure(roleControl, "the same in heartbeats", "heartbeats", took.Seconds()/leaderHeartbeatInterval.Seconds())
 	return nil
 }
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	pathEngines   = 20
-	promptTokens  = 2000
-	pairedRate    = 100
-	tokenGap      = 20 * time.Millisecond
-	directAttempt = 1 << 40 // attempt ids of direct calls do not meet the router's
+	pathEngines         = 20
+	promptTokens        = 2000
+	latencyRate         = 100
+	engineTokenInterval = 20 * time.Millisecond
+	directAttemptID     = 1 << 40 // attempt ids of direct calls do not meet the router's
 )
 
 // dataPath is a real router in front of hollow engines, with callers beside it.
 type dataPath struct {
-	engines *hollowEngines
+	engines *emulatedEngines
 	router  string
 	client  *http.Client
 	prompt  string
 }
 
 func startDataPath(ctx context.Context, g *group, folder string) (*dataPath, error) {
-	engines, err := startHollowEngines(ctx, pathEngines, 0)
+	engines, err := startEmulatedEngines(ctx, pathEngines, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -55,49 +55,49 @@
 // direct sends the same prompt to an engine.
 func (p *dataPath) direct(tokens int) func(int) (time.Duration, error) {
 	return func(number int) (time.Duration, error) {
-		body := api.GenerateRequest{Attempt: directAttempt, Prompt: fmt.Sprint(number%50, p.prompt), MaxTokens: tokens, PromptTokens: promptTokens}
+		body := api.GenerateRequest{Attempt: directAttemptID, Prompt: fmt.Sprint(number%50, p.prompt), MaxTokens: tokens, PromptTokens: promptTokens}
 		return stream(p.client, p.engines.machines[number%pathEngines].Address, api.PathGenerate, body, nil, nil)
 	}
 }
 
 // measureLatency compares the time to first token with and without the router, in turns of one run.
-func (p *dataPath) measureLatency(report *Report, turns int, turn time.Duration) error {
+func (p *dataPath) measureLatency(report *Report, rounds int, roundDuration time.Duration) error {
 	const tokens = 5
-	drive(pairedRate, turn/2, p.routed(tokens)) // connections are made before the first figure
-	drive(pairedRate, turn/2, p.direct(tokens))
+	sendAtRate(latencyRate, roundDuration/2, p.routed(tokens)) // connections are made before the first figure
+	sendAtRate(latencyRate, roundDuration/2, p.direct(tokens))
 	var medians, tails, directMedians, directTails float64
-	for range turns {
-		direct, failed := drive(pairedRate, turn, p.direct(tokens))
-		routed, refused := drive(pairedRate, turn, p.routed(tokens))
-		if failed+refused > 0 {
-			return eris.Errorf("%d direct and %d routed requests failed", failed, refused)
+	for range rounds {
+		direct, directFailed := sendAtRate(latencyRate, roundDuration, p.direct(tokens))
+		routed, routedFailed := sendAtRate(latencyRate, roundDuration, p.routed(tokens))
+		if directFailed+routedFailed > 0 {
+			return eris.Errorf("%d direct and %d routed requests failed", directFailed, routedFailed)
 		}
 		directMedians, directTails = directMedians+quantile(direct, 0.5), directTails+quantile(direct, 0.99)
 		medians, tails = medians+quantile(routed, 0.5), tails+quantile(routed, 0.99)
 	}
-	n := float64(turns)
-	report.figure(roleRouter, "first token through the router, median, 100 requests/s", "ms", medians/n)
-	report.figure(roleRouter, "first token direct, median", "ms", directMedians/n)
-	report.figure(roleRouter, "added to the first token, median", "ms", (medians-directMedians)/n)
-	report.figure(roleRouter, "added to the first token, p99", "ms", (tails-directTails)/n)
+	n := float64(rounds)
+	report.addFigure(roleRouter, "first token through the router, median, 100 requests/s", "ms", medians/n)
+	report.addFigure(roleRouter, "first token direct, median", "ms", directMedians/n)
+	report.addFigure(roleRouter, "added to the first token, median", "ms", (medians-directMedians)/n)
+	report.addFigure(roleRouter, "added to the first token, p99", "ms", (tails-directTails)/n)
 	return nil
 }
 
-// measureGaps measures the time between tokens through the router, of engines that give one every tokenGap.
-func (p *dataPath) measureGaps(report *Report, rate int, length time.Duration) error {
-	p.engines.tokenEvery = tokenGap
-	defer func() { p.engines.tokenEvery = 0 }()
+// measureTokenIntervals measures the time between tokens through the router, of engines that give one every tokenGap.
+func (p *dataPath) measureTokenIntervals(report *Report, rate int, duration time.Duration) error {
+	p.engines.tokenInterval = engineTokenInterval
+	defer func() { p.engines.tokenInterval = 0 }()
 	var mutex sync.Mutex
-	var gaps []time.Duration
+	var intervals []time.Duration
 	headers := map[string]string{"Authorization": "Bearer " + apiKey}
-	_, failed := drive(rate, length, func(number int) (time.Duration, error) {
+	_, failed := sendAtRate(rate, duration, func(number int) (time.Duration, error) {
 		body := api.CompletionRequest{Model: serviceName, Prompt: fmt.Sprint(number, p.prompt), MaxTokens: 40, Stream: true}
 		var last time.Time
 		return stream(p.client, p.router, "/v1/completions", body, headers, func() {
 			now := time.Now()
 			if !last.IsZero() {
 				mutex.Lock()
-				gaps = append(gaps, now.Sub(last))
+				intervals = append(intervals, now.Sub(last))
 				mutex.Unlock()
 			}
 			last = now
@@ -106,18 +106,18 @@
 	if failed > 0 {
 		return eris.Errorf("%d streams failed", failed)
 	}
-	slices.Sort(gaps)
-	report.figure(roleRouter, fmt.Sprintf("between tokens through the router, engines give one every %v, median", tokenGap), "ms", quantile(gaps, 0.5))
-	report.figure(roleRouter, "between tokens through the router, p95", "ms", quantile(gaps, 0.95))
+	slices.Sort(intervals)
+	report.addFigure(roleRouter, fmt.Sprintf("between tokens through the router, engines give one every %v, median", engineTokenInterval), "ms", quantile(intervals, 0.5))
+	report.addFigure(roleRouter, "between tokens through the router, p95", "ms", quantile(intervals, 0.95))
 	return nil
 }
 
-// measureWork measures the router's processor time against requests and tokens a second.
-func (p *dataPath) measureWork(report *Report, rates, tokens []int, length time.Duration) error {
+// measureProcessorTime measures the router's processor time against requests and tokens a second.
+func (p *dataPath) measureProcessorTime(report *Report, rates, tokens []int, duration time.Duration) error {
 	var byRate, byTokens []Point
 	phase := func(rate, count int) (float64, error) {
 		failed := 0
-		usage, err := measure(length, func() { _, failed = drive(rate, length, p.routed(count)) })
+		usage, err := measure(duration, func() { _, failed = sendAtRate(rate, duration, p.routed(count)) })
 		if err == nil && failed > 0 {
 			err = eris.Errorf("%d requests failed at %d a second", failed, rate)
 		}
@@ -137,47 +137,47 @@
 		}
 		byTokens = append(byTokens, Point{float64(rates[1] * count), cores})
 	}
-	report.add(roleRouter, fmt.Sprintf("processor time, prompts of %d tokens, answers of %d", promptTokens, tokens[0]), "cores", "request/s", byRate)
-	report.add(roleRouter, "processor time of streams", "cores", "token/s", byTokens)
+	report.addSlope(roleRouter, fmt.Sprintf("processor time, prompts of %d tokens, answers of %d", promptTokens, tokens[0]), "cores", "request/s", byRate)
+	report.addSlope(roleRouter, "processor time of streams", "cores", "token/s", byTokens)
 	return nil
 }
 
 // measureStreams measures the memory of open streams, callers and engines of this process included.
-func (p *dataPath) measureStreams(report *Report, sizes []int, opening time.Duration) error {
-	const every, after = 100 * time.Millisecond, 500 * time.Millisecond
-	tokens := int((opening + 2*after) / every) // the first stream is open until the last one is
+func (p *dataPath) measureStreams(report *Report, sizes []int, openDuration time.Duration) error {
+	const tokenInterval, settleTime = 100 * time.Millisecond, 500 * time.Millisecond
+	tokens := int((openDuration + 2*settleTime) / tokenInterval) // the first stream is open until the last one is
 	var points []Point
 	for _, size := range sizes {
-		p.engines.tokenEvery = every
-		before := heap()
+		p.engines.tokenInterval = tokenInterval
+		before := heapInUse()
 		done := make(chan int, 1)
 		go func() {
-			_, failed := drive(int(float64(size)/opening.Seconds()), opening, p.routed(tokens))
+			_, failed := sendAtRate(int(float64(size)/openDuration.Seconds()), openDuration, p.routed(tokens))
 			done <- failed
 		}()
-		time.Sleep(opening + after)
-		points = append(points, Point{float64(size), heap() - before})
+		time.Sleep(openDuration + settleTime)
+		points = append(points, Point{float64(size), heapInUse() - before})
 		if failed := <-done; failed > 0 {
 			return eris.Errorf("%d of %d streams failed", failed, size)
 		}
 	}
-	p.engines.tokenEvery = 0
-	report.add(roleRouter, "heap of open streams, their callers and engines included", "bytes", "stream", points)
+	p.engines.tokenInterval = 0
+	report.addSlope(roleRouter, "heap of open streams, their callers and engines included", "bytes", "stream", points)
 	return nil
 }
 
-// measureSteady sends many requests and compares the heap after a tenth of them with the heap after all.
-func (p *dataPath) measureSteady(report *Report, rate, count int) error {
-	part := time.Duration(count/10) * time.Second / time.Duration(rate)
-	if _, failed := drive(rate, part, p.routed(2)); failed > 0 {
+// measureHeapGrowth sends many requests and compares the heap after a tenth of them with the heap after all.
+func (p *dataPath) measureHeapGrowth(report *Report, rate, count int) error {
+	tenth := time.Duration(count/10) * time.Second / time.Duration(rate)
+	if _, failed := sendAtRate(rate, tenth, p.routed(2)); failed > 0 {
 		return eris.Errorf("%d requests failed", failed)
 	}
-	early := heap()
-	if _, failed := drive(rate, 9*part, p.routed(2)); failed > 0 {
+	early := heapInUse()
+	if _, failed := sendAtRate(rate, 9*tenth, p.routed(2)); failed > 0 {
 		return eris.Errorf("%d requests failed", failed)
 	}
-	late := heap()
-	report.figure(roleRouter, fmt.Sprintf("heap after %d requests, whole process", count/10), "bytes", early)
-	report.figure(roleRouter, fmt.Sprintf("heap after %d requests, whole process", count), "bytes", late)
+	late := heapInUse()
+	report.addFigure(roleRouter, fmt.Sprintf("heap after %d requests, whole process", count/10), "bytes", early)
+	report.addFigure(roleRouter, fmt.Sprintf("heap after %d requests, whole process", count), "bytes", late)
 	return nil
 }
--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -118,7 +118,7 @@
 	ex := &exchange{job: j, router: router, nextToken: resumeFrom, resumeFrom: resumeFrom}
 	c.w.oracle.requests++
 	if !router.up {
-		c.after(refusalDelay, func() { c.retry(ex, 100*time.Millisecond) })
+		c.after(refusedCallDelay, func() { c.retry(ex, 100*time.Millisecond) })
 		return
 	}
 	ex.toCaller = c.w.newStream(router.process, c.process)
@@ -164,7 +164,7 @@
 	}
 	ex.finished = true
 	ex.toCaller.closed = true
-	ex.router.run(ex.toCaller.fromLife, func() {
+	ex.router.run(ex.toCaller.fromGeneration, func() {
 		if ex.router.exchanges[ex.id] == ex {
 			delete(ex.router.exchanges, ex.id)
 			ex.router.post(core.EventCallerGone{ID: ex.id})
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -52,7 +52,7 @@
 	nextID           uint64
 	joinClient       *controlClient
 
-	keepsBuild bool // its next start takes this build again
+	keepBuild bool // its next start takes this build again
 }
 
 func (n *controlNode) clock() time.Duration { return n.elapsed(n.startedAt, n.w.now()) }
@@ -78,10 +78,10 @@
 	n.clients = map[uint64]func(control.Response){}
 	n.wakeup = vtime.Alarm{}
 	n.joinClient = newControlClient(n.w, n.process)
-	if !n.keepsBuild {
+	if !n.keepBuild {
 		n.build = n.w.drawBuild()
 	}
-	n.keepsBuild = false
+	n.keepBuild = false
 	config := control.Config{
 		Level: n.build,
 		ID:    n.identity.ID, Name: n.name, Address: n.name, Timing: controlTiming, Replicas: groupSize,
@@ -166,8 +166,8 @@
 // beginSync writes; the replica goes on when the write is synced.
 func (n *controlNode) beginSync(persist control.Persist) {
 	n.syncing = &persist
-	if n.w.mischief.stallDiskOnOrder && n.replica.PendingWeightsCalls() > 0 {
-		n.w.mischief.stallDiskOnOrder = false
+	if n.w.pending.stallDiskOnOrder && n.replica.PendingWeightsCalls() > 0 {
+		n.w.pending.stallDiskOnOrder = false
 		n.stallDisk(n.w.between(3*time.Second, 6*time.Second))
 	}
 	delay := max(n.w.between(500*time.Microsecond, 6*time.Millisecond), n.diskStalledUntil-n.w.now())
@@ -269,7 +269,7 @@
 		delay = n.w.between(0, 5*time.Second)
 	}
 	if call.Order != nil {
-		delay = max(delay, n.w.mischief.delayOrder(n))
+		delay = max(delay, n.w.pending.delayOrder(n))
 	}
 	from := n.process
 	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.handleCall(call) }) })
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -66,7 +66,7 @@
 		return
 	}
 	s.finished = true
-	s.router.run(s.stream.toLife, func() { s.router.attemptEvent(s, core.EventAttempt{Kind: core.AttemptBroken}) })
+	s.router.run(s.stream.toGeneration, func() { s.router.attemptEvent(s, core.EventAttempt{Kind: core.AttemptBroken}) })
 }
 
 // boot starts a life with an empty cache.
@@ -156,7 +156,7 @@
 			}
 		})
 	}
-	if e.w.now() < e.w.mischief.streamsUntil && event.Kind != core.AttemptStarted && e.w.chance(streamFaultRatio) {
+	if e.w.now() < e.w.pending.streamsUntil && event.Kind != core.AttemptStarted && e.w.chance(streamFaultRatio) {
 		e.injectStreamFault(s, event, send)
 		return
 	}
--- a/internal/lab/sim/fleet_faults.go
+++ b/internal/lab/sim/fleet_faults.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// faultFleetProcess strikes one process of the fleet.
+// faultFleetProcess kills a back end, or kills or freezes a gateway.
 func (w *world) faultFleetProcess() {
 	w.faults++
 	if w.chance(0.4) {
-		struck := pick(w, w.backends)
-		w.killBackend(struck, w.chance(0.5))
-		w.restart(struck, w.between(100*time.Millisecond, 4*time.Second))
+		backend := pick(w, w.backends)
+		w.killBackend(backend, w.chance(0.5))
+		w.restart(backend, w.between(100*time.Millisecond, 4*time.Second))
 		return
 	}
-	struck := pick(w, w.gateways)
+	gateway := pick(w, w.gateways)
 	if w.chance(0.5) {
-		struck.freeze()
-		w.after(w.between(500*time.Millisecond, 5*time.Second), struck.resume)
+		gateway.freeze()
+		w.after(w.between(500*time.Millisecond, 5*time.Second), gateway.resume)
 		return
 	}
-	struck.kill(w.chance(0.5))
-	w.restart(struck, w.between(100*time.Millisecond, 3*time.Second))
+	gateway.kill(w.chance(0.5))
+	w.restart(gateway, w.between(100*time.Millisecond, 3*time.Second))
 }
 
-// faultStallDisk makes a replica's disk answer nothing for a while: it must neither acknowledge nor lead meanwhile.
+// faultStallDisk blocks a replica's disk for a while. The replica must neither acknowledge changes nor lead meanwhile.
 func (w *world) faultStallDisk() {
 	n := pick(w, w.controls)
 	if leader := w.leader(); leader != nil && w.chance(0.6) {
@@ -36,22 +36,22 @@
 	n.w.recordControlDisturbance(length + recoveryTime)
 }
 
-// faultStallOrder stalls the disk of a leader between the decision and the send of an order, once weights are named.
+// faultStallOrder blocks the leader's disk between the decision to send a weights order and its sending.
 func (w *world) faultStallOrder() {
-	w.mischief.stallDiskOnOrder = true
+	w.pending.stallDiskOnOrder = true
 	pick(w, w.fleetOperators).publishWeights()
 }
 
-// faultCutThenKill cuts a replica off while changes are made, heals the cut, and kills the others at once: what they
-// acknowledged must survive on their disks, and the one that was behind must not lead without it.
+// faultCutThenKill partitions a replica while changes are made, heals the partition and kills the others at once.
+// Acknowledged changes must survive on their disks, and the outdated replica must not lead without them.
 func (w *world) faultCutThenKill() {
-	behind := pick(w, w.controls)
+	lagging := pick(w, w.controls)
 	length := w.between(2*time.Second, 6*time.Second)
-	w.after(length, w.partitionZone(behind.zone))
+	w.after(length, w.partitionZone(lagging.zone))
 	w.recordControlDisturbance(length + recoveryTime)
 	w.after(length+w.between(0, 50*time.Millisecond), func() {
 		for _, n := range w.controls {
-			if n != behind {
+			if n != lagging {
 				n.crash(w.chance(0.5))
 				w.restartControl(n, w.between(200*time.Millisecond, 2*time.Second))
 			}
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -99,7 +99,7 @@
 	firstAccept        time.Duration               // when the first change was accepted
 	controlFaultEnd    time.Duration               // end of the newest fault that may have stopped control
 	fleet              fleetOracle
-	said               signalOracle
+	signals            signalOracle
 	limits             limitOracle
 	fatalRequests      map[quarantine.Fingerprint]*fatalRequest
 	fatalCount         int
@@ -109,7 +109,7 @@
 	return &oracle{
 		w: w, runsByKey: map[string]int{}, reportedNotRun: map[*exchange]bool{},
 		outcomes: map[string]settings.Outcome{}, operationByVersion: map[uint64]string{}, routerVersions: map[string]uint64{},
-		fleet: newFleetOracle(), said: newSignalOracle(), limits: limitOracle{}, fatalRequests: map[quarantine.Fingerprint]*fatalRequest{},
+		fleet: newFleetOracle(), signals: newSignalOracle(), limits: limitOracle{}, fatalRequests: map[quarantine.Fingerprint]*fatalRequest{},
 	}
 }
 
