--- a/internal/lab/sim/asker.go
+++ b/internal/lab/sim/asker.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	askTimeout = 700 * time.Millisecond
-	askPause   = 50 * time.Millisecond
+	controlTimeout    = 700 * time.Millisecond
+	controlRetryDelay = 50 * time.Millisecond
 )
 
-// asker is a client of the control group that finds the leader by itself, as control.Client does.
-type asker struct {
-	w      *world
-	from   *process
-	leader string
-	next   int
+// controlClient is a client of the control group that finds the leader by itself, as control.Client does.
+type controlClient struct {
+	w           *world
+	from        *process
+	leader      string
+	nextReplica int
 }
 
-func newAsker(w *world, from *process) *asker {
-	return &asker{w: w, from: from, next: w.random.IntN(16)}
+func newControlClient(w *world, from *process) *controlClient {
+	return &controlClient{w: w, from: from, nextReplica: w.random.IntN(16)}
 }
 
-func (a *asker) target() *controlNode {
+func (a *controlClient) pickReplica() *controlNode {
 	for _, n := range a.w.controls {
 		if n.name == a.leader {
 			return n
 		}
 	}
-	a.next++
-	return a.w.controls[a.next%len(a.w.controls)]
+	a.nextReplica++
+	return a.w.controls[a.nextReplica%len(a.w.controls)]
 }
 
-// once asks one replica once.
-func (a *asker) once(request control.Request, timeout time.Duration, done func(control.Response, bool)) {
-	target := a.target()
-	answered := a.w.note(a.from.name, request)
+// askOnce asks one replica askOnce.
+func (a *controlClient) askOnce(request control.Request, timeout time.Duration, done func(control.Response, bool)) {
+	target := a.pickReplica()
+	answered := a.w.recordCall(a.from.name, request)
 	a.w.call(a.from, target.process, timeout, func(respond func(func())) {
 		target.handle(request, func(response control.Response) {
 			respond(func() {
 				answered(response)
-				a.learn(target, response)
+				a.updateLeader(target, response)
 				done(response, true)
 			})
 		})
@@ -51,7 +51,7 @@
 	})
 }
 
-func (a *asker) learn(target *controlNode, response control.Response) {
+func (a *controlClient) updateLeader(target *controlNode, response control.Response) {
 	switch {
 	case response.Kind == control.ResponseOK:
 		a.leader = target.name
@@ -62,9 +62,9 @@
 	}
 }
 
-// ask repeats a request until a leader decided it or the time is over.
-func (a *asker) ask(request control.Request, until time.Duration, done func(control.Response, bool)) {
-	a.once(request, askTimeout, func(response control.Response, answered bool) {
+// askUntil repeats a request until a leader decided it or the time is over.
+func (a *controlClient) askUntil(request control.Request, until time.Duration, done func(control.Response, bool)) {
+	a.askOnce(request, controlTimeout, func(response control.Response, answered bool) {
 		if answered && response.Kind == control.ResponseOK {
 			done(response, true)
 			return
@@ -73,6 +73,6 @@
 			done(control.Response{}, false)
 			return
 		}
-		a.from.after(askPause, func() { a.ask(request, until, done) })
+		a.from.after(controlRetryDelay, func() { a.askUntil(request, until, done) })
 	})
 }
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	groupSize     = 3
-	heartbeat     = 100 * time.Millisecond
-	repairAfter   = 4 * time.Second
-	settingsLease = 2 * time.Second
-	snapshotEvery = 150
-	enginePoll    = 300 * time.Millisecond
-	pollTimeout   = 500 * time.Millisecond
-	joinPeriod    = 400 * time.Millisecond
-	wallStart     = 1_700_000_000_000 // ms
-	lateSyncMin   = 20 * time.Millisecond
-	lateSyncMax   = 400 * time.Millisecond
-	relayTimeout  = 400 * time.Millisecond
+	groupSize          = 3
+	raftHeartbeat      = 100 * time.Millisecond
+	repairAfter        = 4 * time.Second
+	settingsLease      = 2 * time.Second
+	snapshotEvery      = 150
+	enginePollInterval = 300 * time.Millisecond
+	pollTimeout        = 500 * time.Millisecond
+	joinInterval       = 400 * time.Millisecond
+	wallStart          = 1_700_000_000_000 // ms
+	lateSyncMin        = 20 * time.Millisecond
+	lateSyncMax        = 400 * time.Millisecond
+	relayTimeout       = 400 * time.Millisecond
 )
 
 var controlTiming = consensus.Timing{
-	Heartbeat: heartbeat, ElectionMin: 7 * heartbeat, ElectionMax: 14 * heartbeat, Lease: 5 * heartbeat,
+	Heartbeat: raftHeartbeat, ElectionMin: 7 * raftHeartbeat, ElectionMax: 14 * raftHeartbeat, Lease: 5 * raftHeartbeat,
 }
 
 // controlNode is a control replica with its disk.
@@ -37,22 +37,22 @@
 	*process
 	disk      control.Checkpoint
 	identity  control.Identity
-	folders   int // data folders it has had
+	dataDirs  int // data folders it has had
 	replica   *control.Replica
 	startedAt time.Duration
 	build     level.Level // that it runs, or that it starts as if keepsBuild is set
 	wallSkew  time.Duration
 
-	stallsTo time.Duration     // no write ends before
-	syncing  *control.Persist  // being written
-	unsynced []control.Persist // acknowledged before the sync; only without the guard
-	inbox    []func()          // arrived during a sync
-	alarm    vtime.Alarm
-	clients  map[uint64]func(control.Response)
-	nextID   uint64
-	joining  *asker
+	diskStalledUntil time.Duration     // no write ends before
+	syncing          *control.Persist  // being written
+	unsynced         []control.Persist // acknowledged before the sync; only without the guard
+	deferredInputs   []func()          // arrived during a sync
+	wakeup           vtime.Alarm
+	clients          map[uint64]func(control.Response)
+	nextID           uint64
+	joinClient       *controlClient
 
-	keepsBuild bool // its next start takes this build again
+	keepBuild bool // its next start takes this build again
 }
 
 func (n *controlNode) clock() time.Duration { return n.elapsed(n.startedAt, n.w.now()) }
@@ -61,9 +61,9 @@
 
 // newDataDir makes the disk empty; the replica then has a new identity.
 func (n *controlNode) newDataDir() {
-	n.folders++
+	n.dataDirs++
 	n.disk = control.Checkpoint{}
-	n.identity = control.NewIdentity(n.name, fmt.Sprint(n.folders), n.w.guards)
+	n.identity = control.NewIdentity(n.name, fmt.Sprint(n.dataDirs), n.w.guards)
 }
 
 func (n *controlNode) member() consensus.Member {
@@ -74,14 +74,14 @@
 func (n *controlNode) boot() {
 	n.start()
 	n.startedAt = n.w.now()
-	n.syncing, n.unsynced, n.inbox = nil, nil, nil
+	n.syncing, n.unsynced, n.deferredInputs = nil, nil, nil
 	n.clients = map[uint64]func(control.Response){}
-	n.alarm = vtime.Alarm{}
-	n.joining = newAsker(n.w, n.process)
-	if !n.keepsBuild {
+	n.wakeup = vtime.Alarm{}
+	n.joinClient = newControlClient(n.w, n.process)
+	if !n.keepBuild {
 		n.build = n.w.drawBuild()
 	}
-	n.keepsBuild = false
+	n.keepBuild = false
 	config := control.Config{
 		Level: n.build,
 		ID:    n.identity.ID, Name: n.name, Address: n.name, Timing: controlTiming, Replicas: groupSize,
@@ -99,9 +99,9 @@
 	}
 	n.replica = replica
 	n.w.logf("%s starts as %s at entry %d", n.name, n.identity.ID, replica.Node().LastIndex())
-	n.ticker(enginePoll, n.pollEngines)
-	n.ticker(joinPeriod, n.joinGroup)
-	n.pump()
+	n.ticker(enginePollInterval, n.pollEngines)
+	n.ticker(joinInterval, n.joinGroup)
+	n.advance()
 }
 
 // cloneCheckpoint copies what a replica may append to.
@@ -110,17 +110,17 @@
 	return disk
 }
 
-// die ends the process. A write that was not synced survives in part, or not at all.
-func (n *controlNode) die(silent bool) {
+// crash ends the process. A write that was not synced survives in part, or not at all.
+func (n *controlNode) crash(silent bool) {
 	if n.syncing != nil {
-		n.tear(*n.syncing)
+		n.storePartially(*n.syncing)
 	}
 	n.syncing, n.unsynced = nil, nil
 	n.kill(silent)
 }
 
-// tear keeps a part of an interrupted write: whole records from its start.
-func (n *controlNode) tear(persist control.Persist) {
+// storePartially keeps a part of an interrupted write: whole records from its start.
+func (n *controlNode) storePartially(persist control.Persist) {
 	if persist.Checkpoint != nil || n.w.chance(0.3) {
 		return // a checkpoint replaces the folder only when it is complete
 	}
@@ -134,18 +134,18 @@
 	}
 }
 
-// input passes something to the replica, after the sync in progress.
-func (n *controlNode) input(do func()) {
+// handleInput passes something to the replica, after the sync in progress.
+func (n *controlNode) handleInput(do func()) {
 	if n.syncing != nil {
-		n.inbox = append(n.inbox, do)
+		n.deferredInputs = append(n.deferredInputs, do)
 		return
 	}
 	do()
-	n.pump()
+	n.advance()
 }
 
-// pump lets the replica work until it waits for a sync or for time.
-func (n *controlNode) pump() {
+// advance lets the replica work until it waits for a sync or for time.
+func (n *controlNode) advance() {
 	n.replica.Tick(n.clock(), n.unixMS())
 	for n.replica.HasWork() {
 		persist := n.replica.Prepare()
@@ -154,54 +154,54 @@
 			return
 		}
 		if !persist.Empty() {
-			n.syncLate(persist)
+			n.storeAfterAck(persist)
 		}
 		n.send(n.replica.Advance(n.clock()))
 	}
 	if n.checkBuild(); n.up {
-		n.setWake()
+		n.scheduleWakeup()
 	}
 }
 
 // beginSync writes; the replica goes on when the write is synced.
 func (n *controlNode) beginSync(persist control.Persist) {
 	n.syncing = &persist
-	if n.w.mischief.stallDiskOnOrder && n.replica.PendingWeightsCalls() > 0 {
-		n.w.mischief.stallDiskOnOrder = false
+	if n.w.pending.stallDiskOnOrder && n.replica.PendingWeightsCalls() > 0 {
+		n.w.pending.stallDiskOnOrder = false
 		n.stallDisk(n.w.between(3*time.Second, 6*time.Second))
 	}
-	delay := max(n.w.between(500*time.Microsecond, 6*time.Millisecond), n.stallsTo-n.w.now())
+	delay := max(n.w.between(500*time.Microsecond, 6*time.Millisecond), n.diskStalledUntil-n.w.now())
 	n.after(delay, func() {
 		n.store(persist)
 		n.syncing = nil
 		n.send(n.replica.Advance(n.clock()))
-		waiting := n.inbox
-		n.inbox = nil
-		for _, do := range waiting {
-			n.input(do)
+		inputs := n.deferredInputs
+		n.deferredInputs = nil
+		for _, do := range inputs {
+			n.handleInput(do)
 		}
 		if n.syncing == nil {
-			n.pump()
+			n.advance()
 		}
 	})
 }
 
-// syncLate stores after the acknowledgement has left. A write that then doesn't fit the disk any more loses what was acknowledged.
-func (n *controlNode) syncLate(persist control.Persist) {
+// storeAfterAck stores after the acknowledgement has left. A write that then doesn't fit the disk any more loses what was acknowledged.
+func (n *controlNode) storeAfterAck(persist control.Persist) {
 	n.unsynced = append(n.unsynced, persist)
 	n.after(n.w.between(lateSyncMin, lateSyncMax), func() {
 		if err := n.disk.Apply(n.unsynced[0]); err != nil {
-			n.w.oracle.fail(SettingsHold, "%s acknowledged what it then couldn't store: %v", n.name, err)
+			n.w.oracle.fail(SettingsDurable, "%s acknowledged what it then couldn't store: %v", n.name, err)
 		}
 		n.unsynced = n.unsynced[1:]
 	})
 }
 
-func (n *controlNode) setWake() {
+func (n *controlNode) scheduleWakeup() {
 	due := n.trueTime(n.startedAt, n.replica.NextDue())
-	n.alarm.Set(n.w.now(), due, time.Millisecond, n.after, func() {
+	n.wakeup.Set(n.w.now(), due, time.Millisecond, n.after, func() {
 		if n.syncing == nil {
-			n.pump()
+			n.advance()
 		}
 	})
 }
@@ -231,7 +231,7 @@
 // askLeader passes a question for gateways on.
 func (n *controlNode) askLeader(call control.RelayCall) {
 	number := call.Request.Number
-	failed := func(bool) { n.input(func() { n.replica.ObserveRelay(n.clock(), number, nil) }) }
+	failed := func(bool) { n.handleInput(func() { n.replica.ObserveRelay(n.clock(), number, nil) }) }
 	for _, peer := range n.w.controls {
 		if peer.name != call.Address {
 			continue
@@ -239,7 +239,7 @@
 		n.w.call(n.process, peer.process, relayTimeout, func(respond func(func())) {
 			peer.handle(control.Request{Relay: &call.Request}, func(response control.Response) {
 				respond(func() {
-					n.input(func() { n.replica.ObserveRelay(n.clock(), number, response.Relayed) })
+					n.handleInput(func() { n.replica.ObserveRelay(n.clock(), number, response.Relayed) })
 				})
 			})
 		}, failed)
@@ -254,7 +254,7 @@
 		if peer.identity.ID == message.To {
 			n.w.message(n.process, peer.process, func() {
 				if peer.identity.ID == message.To {
-					peer.input(func() { peer.replica.Step(peer.clock(), message) })
+					peer.handleInput(func() { peer.replica.Step(peer.clock(), message) })
 				}
 			})
 		}
@@ -262,39 +262,39 @@
 }
 
 // sendCall passes an order to an engine; some take long on their way.
-func (n *controlNode) sendCall(order control.EngineCall) {
-	target := n.w.engine(order.Engine)
+func (n *controlNode) sendCall(call control.EngineCall) {
+	target := n.w.engine(call.Engine)
 	delay := time.Duration(0)
 	if n.w.chance(0.15) {
 		delay = n.w.between(0, 5*time.Second)
 	}
-	if order.Order != nil {
-		delay = max(delay, n.w.mischief.delayOrder(n))
+	if call.Order != nil {
+		delay = max(delay, n.w.pending.delayOrder(n))
 	}
 	from := n.process
-	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.order(order) }) })
+	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.handleCall(call) }) })
 }
 
 // handle takes a client's request.
 func (n *controlNode) handle(request control.Request, answer func(control.Response)) {
-	n.input(func() {
+	n.handleInput(func() {
 		n.nextID++
 		n.clients[n.nextID] = answer
 		n.replica.Handle(n.clock(), n.nextID, request)
 	})
 }
 
-func (n *controlNode) leads() bool { return n.replica.Node().Role() == consensus.Leader }
+func (n *controlNode) isLeader() bool { return n.replica.Node().Role() == consensus.Leader }
 
 // pollEngines reads the engines' weights and fences while this replica leads.
 func (n *controlNode) pollEngines() {
-	if !n.leads() {
+	if !n.isLeader() {
 		return
 	}
 	for _, target := range n.w.engines {
 		n.w.call(n.process, target.process, pollTimeout, func(respond func(func())) {
 			report := target.controlReport()
-			respond(func() { n.input(func() { n.replica.ObserveEngineReport(n.clock(), report) }) })
+			respond(func() { n.handleInput(func() { n.replica.ObserveEngineReport(n.clock(), report) }) })
 		}, func(bool) {})
 	}
 }
@@ -306,11 +306,11 @@
 		return
 	}
 	self := n.member()
-	n.joining.once(control.Request{Join: &self}, pollTimeout, func(control.Response, bool) {})
+	n.joinClient.askOnce(control.Request{Join: &self}, pollTimeout, func(control.Response, bool) {})
 }
 
-// found makes the first replicas: one voter, which the others join, as the processes do.
-func (w *world) found() {
+// createGroup makes the first replicas: one voter, which the others join, as the processes do.
+func (w *world) createGroup() {
 	for _, n := range w.controls {
 		n.newDataDir()
 	}
@@ -325,7 +325,7 @@
 func (w *world) leader() *controlNode {
 	var best *controlNode
 	for _, n := range w.controls {
-		if n.up && !n.frozen && n.leads() && (best == nil || n.replica.Node().Term() > best.replica.Node().Term()) {
+		if n.up && !n.frozen && n.isLeader() && (best == nil || n.replica.Node().Term() > best.replica.Node().Term()) {
 			best = n
 		}
 	}
--- a/internal/lab/sim/history.go
+++ b/internal/lab/sim/history.go
@@ -31,8 +31,8 @@
 	open       map[string]*Operation // without an answer so far, by client and id
 }
 
-// identity names what a request's resends have in common, or "" for reads.
-func identity(client string, request control.Request) string {
+// operationKey names what a request's resends have in common, or "" for reads.
+func operationKey(client string, request control.Request) string {
 	switch {
 	case request.Change != nil:
 		return client + "/change/" + request.Change.OperationID
@@ -46,10 +46,10 @@
 
 // begin returns the operation that a request belongs to.
 func (h *History) begin(now time.Duration, client string, request control.Request) *Operation {
-	id := identity(client, request)
-	if held := h.open[id]; held != nil && id != "" {
-		held.Sends++
-		return held
+	id := operationKey(client, request)
+	if existing := h.open[id]; existing != nil && id != "" {
+		existing.Sends++
+		return existing
 	}
 	operation := &Operation{Client: client, Called: now, Sends: 1, Change: request.Change, Claim: request.Claim, End: request.End}
 	h.Operations = append(h.Operations, operation)
@@ -57,8 +57,8 @@
 	return operation
 }
 
-// note records a call and returns what notes its answer. Without a history it does nothing.
-func (w *world) note(client string, request control.Request) func(control.Response) {
+// recordCall records a call and returns what notes its answer. Without a history it does nothing.
+func (w *world) recordCall(client string, request control.Request) func(control.Response) {
 	if w.history == nil {
 		return func(control.Response) {}
 	}
@@ -69,13 +69,13 @@
 		}
 		operation.Returned, operation.Answered = w.now(), true
 		operation.Outcome, operation.Read, operation.Claimed = response.Change, response.Read, response.Claim
-		delete(w.history.open, identity(client, request))
+		delete(w.history.open, operationKey(client, request))
 	}
 }
 
 // RunWithHistory runs one seed and returns every request to the control group besides the result.
 func RunWithHistory(seed uint64) (Result, History) {
-	w := newWorld(seed, noGuardOff, nil)
+	w := newWorld(seed, allGuardsOn, nil)
 	w.history = &History{open: map[string]*Operation{}}
 	return w.finish(), *w.history
 }
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -9,15 +9,15 @@
 	"kitetiller/internal/prefix"
 )
 
-// noGuardOff is the set with every protection on.
-var noGuardOff = guard.Set{}
+// allGuardsOn is the set with every protection on.
+var allGuardsOn = guard.Set{}
 
 const (
-	engineCount  = 4
-	serviceCount = 2
-	operatorsNum = 2
-	spareShare   = 0.4 // share of seeds with a spare control replica
-	seedStream   = 11
+	engineCount       = 4
+	serviceCount      = 2
+	operatorCount     = 2
+	spareReplicaRatio = 0.4 // share of seeds with a spare control replica
+	seedStream        = 11
 )
 
 // zones are the zones of the simulated site, each with a control replica, a router and back ends.
@@ -48,7 +48,7 @@
 	for w.step(RunLength) {
 	}
 	w.clock.Set(RunLength)
-	w.oracle.checkRest()
+	w.oracle.checkSettled()
 	w.oracle.checkFleetSettled()
 	return Result{
 		Seed: w.seed, Violation: w.oracle.violation, Faults: w.faults, Requests: w.oracle.requests,
@@ -57,23 +57,23 @@
 }
 
 func newWorld(seed uint64, guards guard.Set, trace io.Writer) *world {
-	return newWorldOf(fleetGateways, seed, guards, trace)
+	return newWorldWithGateways(fleetGateways, seed, guards, trace)
 }
 
 // RunLarge runs one seed with so many gateways, which control's replicas answer for the leader.
 func RunLarge(gateways int, seed uint64, guards guard.Set) Result {
-	return newWorldOf(gateways, seed, guards, nil).finish()
+	return newWorldWithGateways(gateways, seed, guards, nil).finish()
 }
 
-// newWorldOf makes a world with so many gateways. In every other one, and with more than usual, replicas answer them for the leader.
-func newWorldOf(gateways int, seed uint64, guards guard.Set, trace io.Writer) *world {
+// newWorldWithGateways makes a world with so many gateways. In every other one, and with more than usual, replicas answer them for the leader.
+func newWorldWithGateways(gateways int, seed uint64, guards guard.Set, trace io.Writer) *world {
 	w := &world{seed: seed, random: rand.New(rand.NewPCG(seed, seedStream)), guards: guards, trace: trace, gatewayCount: gateways}
 	w.relaysWatches = seed%2 == 0 || gateways > fleetGateways
 	w.reportsStartTime = seed/2%2 == 0
 	w.network.partitioned = map[[2]string]int{}
 	w.oracle = newOracle(w)
 	w.hasher = prefix.NewHasher([prefix.KeyBytes]byte{1}, tokensPerBlock, guards)
-	w.makeNodes()
+	w.createNodes()
 	w.platform.boot()
 	for _, e := range w.engines {
 		e.boot()
@@ -82,7 +82,7 @@
 		s.boot()
 	}
 	w.planBuilds()
-	w.found()
+	w.createGroup()
 	for _, r := range w.routers {
 		r.boot()
 	}
@@ -96,10 +96,10 @@
 	return w
 }
 
-// makeNodes lays the processes out over the zones.
-func (w *world) makeNodes() {
+// createNodes lays the processes out over the zones.
+func (w *world) createNodes() {
 	controls := groupSize
-	if w.chance(spareShare) {
+	if w.chance(spareReplicaRatio) {
 		controls++
 	}
 	for i := range controls {
@@ -117,7 +117,7 @@
 	w.makeFleet()
 	w.platform = &platform{process: newProcess(w, "platform", platformZone)}
 	w.callers = &callers{process: newProcess(w, "callers", callerZone)}
-	for i := range operatorsNum {
+	for i := range operatorCount {
 		w.operators = append(w.operators, &operator{process: newProcess(w, fmt.Sprintf("operator-%d", i+1), callerZone)})
 	}
 }
@@ -128,7 +128,7 @@
 	w.network.partitioned = map[[2]string]int{}
 	w.network.degradedUntil = 0
 	w.onAccept, w.onPublished = nil, nil
-	w.mischief = pendingFaults{}
+	w.pending = pendingFaults{}
 	w.platform.omitted = map[string]bool{}
 	for _, n := range w.controls {
 		n.resume()
--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -6,21 +6,21 @@
 	"kitetiller/internal/settings"
 )
 
-// checkRest checks, after all faults have healed, that everything came to rest where it must.
-func (o *oracle) checkRest() {
+// checkSettled checks, after all faults have healed, that everything came to rest where it must.
+func (o *oracle) checkSettled() {
 	if o.violation != nil {
 		return
 	}
 	leader := o.w.leader()
 	if leader == nil {
-		o.fail(SettingsHold, "no control replica leads %v after all faults have healed", settleTime)
+		o.fail(SettingsDurable, "no control replica leads %v after all faults have healed", settleTime)
 		return
 	}
 	o.checkMembers(leader)
 	o.checkHistory(leader)
 	o.checkRouters(leader)
 	o.checkEngines(leader)
-	o.checkAnswered()
+	o.checkResponses()
 }
 
 // checkMembers checks that every replica belongs to the group again: one that was replaced while it was away must come back
@@ -29,7 +29,7 @@
 	membership := leader.replica.Node().Membership()
 	for _, n := range o.w.controls {
 		if _, member := membership.Find(n.identity.ID); !member {
-			o.fail(SettingsHold, "%s (%s) is no member of the group any more", n.name, n.identity.ID)
+			o.fail(SettingsDurable, "%s (%s) is no member of the group any more", n.name, n.identity.ID)
 			return
 		}
 	}
@@ -39,19 +39,19 @@
 func (o *oracle) checkHistory(leader *controlNode) {
 	final := leader.replica.Machine().Settings()
 	if final.Version() < o.acknowledged {
-		o.fail(SettingsHold, "the tree is at version %d after version %d was accepted", final.Version(), o.acknowledged)
+		o.fail(SettingsDurable, "the tree is at version %d after version %d was accepted", final.Version(), o.acknowledged)
 		return
 	}
-	inHistory := map[string]uint64{}
+	versionByOperation := map[string]uint64{}
 	for _, entry := range final.History() {
-		inHistory[entry.OperationID] = entry.Version
+		versionByOperation[entry.OperationID] = entry.Version
 	}
 	for _, id := range sortedOperations(o.outcomes) {
 		outcome := o.outcomes[id]
-		version, found := inHistory[id]
+		version, found := versionByOperation[id]
 		accepted := outcome.Kind == settings.OutcomeAccepted
 		if found != accepted || (found && version != outcome.Version) {
-			o.fail(SettingsHold, "%s was told %s at version %d, the history has it at %d", id, outcome.Kind, outcome.Version, version)
+			o.fail(SettingsDurable, "%s was told %s at version %d, the history has it at %d", id, outcome.Kind, outcome.Version, version)
 			return
 		}
 	}
@@ -62,12 +62,12 @@
 	newest := leader.replica.Machine().Settings().Version()
 	for _, r := range o.w.routers {
 		if r.core.SettingsVersion() != newest || !r.core.LeaseValid() {
-			o.fail(SettingsHold, "%s uses version %d, lease=%v, while version %d is the newest", r.name, r.core.SettingsVersion(), r.core.LeaseValid(), newest)
+			o.fail(SettingsDurable, "%s uses version %d, lease=%v, while version %d is the newest", r.name, r.core.SettingsVersion(), r.core.LeaseValid(), newest)
 			return
 		}
 	}
 	if inForce := leader.replica.InForce(leader.clock()); inForce != newest {
-		o.fail(SettingsHold, "version %d is in force, version %d is the newest", inForce, newest)
+		o.fail(SettingsDurable, "version %d is in force, version %d is the newest", inForce, newest)
 	}
 }
 
@@ -77,17 +77,17 @@
 	for _, e := range o.w.engines {
 		wanted := tree.Resolve(e.zone, modelService).WeightsVersion
 		if e.model.Weights != wanted {
-			o.fail(SettingsHold, "%s holds weights %s, the tree wants %s", e.name, e.model.Weights, wanted)
+			o.fail(SettingsDurable, "%s holds weights %s, the tree wants %s", e.name, e.model.Weights, wanted)
 			return
 		}
 	}
 }
 
-// checkAnswered checks that no caller still waits.
-func (o *oracle) checkAnswered() {
-	for _, run := range o.w.callers.open {
-		if !run.over {
-			o.fail(OwnAnswer, "%s, sent to %s, was never answered", run.job.name, run.router.name)
+// checkResponses checks that no caller still waits.
+func (o *oracle) checkResponses() {
+	for _, ex := range o.w.callers.exchanges {
+		if !ex.finished {
+			o.fail(CorrectResponse, "%s, sent to %s, was never answered", ex.job.name, ex.router.name)
 			return
 		}
 	}
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestEveryGuardIsNeeded: with any one protection off, some seed must break an invariant. A check that cannot fail
+// TestWithoutAnyGuardAnInvariantBreaks: with any one protection off, some seed must break an invariant. A check that cannot fail
 // proves nothing.
-func TestEveryGuardIsNeeded(t *testing.T) {
+func TestWithoutAnyGuardAnInvariantBreaks(t *testing.T) {
 	for _, off := range guard.All() {
 		t.Run(string(off), func(t *testing.T) {
 			if firstViolation(guard.Without(off), 1, guardSeeds) == nil {
@@ -71,35 +71,35 @@
 	}
 }
 
-func TestNineInvariantsAreNamed(t *testing.T) {
+func TestInvariantCount(t *testing.T) {
 	if got := len(Invariants()); got != 9 {
 		t.Fatalf("%d invariants, the brief has nine", got)
 	}
 }
 
-// TestManyGatewaysThroughReplicas: 300 gateways, which replicas answer for the leader, under the same faults.
-func TestManyGatewaysThroughReplicas(t *testing.T) {
+// TestManyGatewaysServedByFollowers: 300 gateways, which replicas answer for the leader, under the same faults.
+func TestManyGatewaysServedByFollowers(t *testing.T) {
 	result := RunLarge(300, 1, guard.Set{})
 	if result.Violation != nil {
 		t.Fatalf("%s at %v: %s", result.Violation.Invariant, result.Violation.At, result.Violation.Detail)
 	}
 }
 
-// TestManyGatewaysShareALimit: 300 gateways before four back ends that name limits, under the same faults.
-func TestManyGatewaysShareALimit(t *testing.T) {
+// TestManyGatewaysShareAnAdvertisedLimit: 300 gateways before four back ends that name limits, under the same faults.
+func TestManyGatewaysShareAnAdvertisedLimit(t *testing.T) {
 	for _, seed := range []uint64{4, 7} {
 		if result := RunLarge(300, seed, guard.Set{}); result.Violation != nil {
 			t.Errorf("seed %d breaks %s at %v: %s", seed, result.Violation.Invariant, result.Violation.At, result.Violation.Detail)
 		}
 	}
-	if result := RunLarge(300, 4, guard.Without(guard.AdvertisedLimitCheck)); result.Violation == nil || result.Violation.Invariant != LimitKept {
+	if result := RunLarge(300, 4, guard.Without(guard.AdvertisedLimitCheck)); result.Violation == nil || result.Violation.Invariant != AdvertisedLimitRespected {
 		t.Errorf("without the check: %+v", result.Violation)
 	}
 }
 
-// TestSeedsThatBrokeSomethingHold: 57 a request held back after a time in which nothing could be sent, 5667 and 6409 requests in a rest that a
+// TestRegressionSeeds: 57 a request held back after a time in which nothing could be sent, 5667 and 6409 requests in a rest that a
 // back end had asked for.
-func TestSeedsThatBrokeSomethingHold(t *testing.T) {
+func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []uint64{57, 5667, 6409} {
 		if found := firstViolation(guard.Set{}, seed, 1); found != nil {
 			t.Errorf("seed %d breaks %s at %v: %s", found.Seed, found.Violation.Invariant, found.Violation.At, found.Violation.Detail)
@@ -114,7 +114,7 @@
 //	30.753023  router-1 sends to engine-1/2, meant for 2; so at 31.056608 and 31.079562
 //
 // A refusal tells which life speaks, and its words are noted of that one.
-func TestWordsAreOfTheLifeThatSpoke(t *testing.T) {
+func TestPushbackAppliesToTheRespondingIncarnation(t *testing.T) {
 	if found := firstViolation(guard.Set{}, 32146, 1); found != nil {
 		t.Errorf("seed %d breaks %s at %v: %s", found.Seed, found.Violation.Invariant, found.Violation.At, found.Violation.Detail)
 	}
