--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -43,7 +43,7 @@
 
 // Goodput simulates one load, with or without early rejection.
 func Goodput(load float64, earlyRejection bool, seed uint64) GoodputPoint {
-	f := &goodputFleet{random: rand.New(rand.NewPCG(seed, seed)), refusal: earlyRejection, freeAt: make([]time.Duration, goodputEngines)}
+	f := &goodputFleet{random: rand.New(rand.NewPCG(seed, seed)), earlyRejection: earlyRejection, freeAt: make([]time.Duration, goodputEngines)}
 	f.knownFreeAt = make([]time.Duration, goodputEngines)
 	f.point = GoodputPoint{Load: load, EarlyRejection: earlyRejection}
 	capacity := float64(goodputEngines) / goodputServiceTime.Seconds() // requests per second of all engines
@@ -84,7 +84,7 @@
 
 type goodputFleet struct {
 	random             *rand.Rand
-	refusal            bool
+	earlyRejection     bool
 	freeAt             []time.Duration // by engine: when its queue is empty
 	knownFreeAt        []time.Duration // freeAt as admission sees it
 	knownAt            time.Duration
@@ -108,7 +108,7 @@
 	}
 	predicted := max(0, f.knownFreeAt[engine]-c.at)
 	request := admission.Request{Key: c.key, PredictedWait: predicted, Objective: goodputObjective, Random: f.random.Float64()}
-	if retryAfter, rejected := f.admission.Decide(c.at, request); rejected && f.refusal {
+	if retryAfter, rejected := f.admission.Decide(c.at, request); rejected && f.earlyRejection {
 		f.reject(c, retryAfter)
 		return
 	}
