--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -137,7 +137,7 @@
 	s.router.reply(e, s, event)
 }
 
-// longestCachedPrefix returns the engine, or the vault, that has the longest prefix of a chain cached, and the length of
+// longestCachedPrefix returns the engine, or the vault, with the longest cached prefix of a chain, and the length of
 // that prefix in blocks.
 func (r *run) longestCachedPrefix(chain []prefix.Hash) (string, int) {
 	source, longest := "", 0
--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -26,11 +26,11 @@
 	TTFTP99                   float64 `json:"ttft_p99_ms"`
 	InteractiveTTFTP99        float64 `json:"interactive_ttft_p99_ms"`
 	RecomputedRatio           float64 `json:"recomputed_token_share"`          // fraction of prompt tokens computed again
-	RecomputedCachedElsewhere float64 `json:"recomputed_held_elsewhere_share"` // part of it that another live engine had cached
+	RecomputedCachedElsewhere float64 `json:"recomputed_held_elsewhere_share"` // while cached elsewhere
 	RejectedRatio             float64 `json:"refused_share"`
 	Completed                 int     `json:"completed"`
 	Goodput                   float64 `json:"goodput_per_s"`    // requests whose first token came within the deadline
-	CrashRecovery             float64 `json:"crash_recovery_s"` // until the hit rate is back at 90%; -1: not within the run
+	CrashRecovery             float64 `json:"crash_recovery_s"` // until the hit rate is back; -1: never
 	ShiftRecovery             float64 `json:"shift_recovery_s"`
 	Scale                     float64 `json:"scale"` // factor on the deployment's request rate
 
