--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -185,7 +185,7 @@
 	var slowest, total time.Duration
 	before, started := routers.counter.total(), time.Now()
 	for i := range changes {
-		started := time.Now()
+		changeStarted := time.Now()
 		version, err := g.changeSettings(settings.Edit{Path: "/", Setting: "queue_limit", Value: json.RawMessage(fmt.Sprint(100 + i))})
 		if err != nil {
 			return err
@@ -193,7 +193,7 @@
 		if err := g.waitInForce(version); err != nil {
 			return err
 		}
-		took := time.Since(started)
+		took := time.Since(changeStarted)
 		slowest, total = max(slowest, took), total+took
 	}
 	heartbeatRate := 0.0
