--- a/internal/lab/sim/asker.go
+++ b/internal/lab/sim/asker.go
@@ -11,7 +11,7 @@
 	controlRetryDelay = 50 * time.Millisecond
 )
 
-// controlClient is a client of the control group that finds the leader by itself, as control.Client does.
+// controlClient simulates control.Client: it finds the leader of the control group and sends requests to it.
 type controlClient struct {
 	w           *world
 	from        *process
@@ -33,7 +33,7 @@
 	return a.w.controls[a.nextReplica%len(a.w.controls)]
 }
 
-// askOnce asks one replica askOnce.
+// askOnce sends the request once to one replica: the believed leader, or the next one in turn.
 func (a *controlClient) askOnce(request control.Request, timeout time.Duration, done func(control.Response, bool)) {
 	target := a.pickReplica()
 	answered := a.w.recordCall(a.from.name, request)
@@ -62,7 +62,7 @@
 	}
 }
 
-// askUntil repeats a request until a leader decided it or the time is over.
+// askUntil retries the request until a leader has processed it or the deadline until has passed.
 func (a *controlClient) askUntil(request control.Request, until time.Duration, done func(control.Response, bool)) {
 	a.askOnce(request, controlTimeout, func(response control.Response, answered bool) {
 		if answered && response.Kind == control.ResponseOK {
