--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -11,61 +11,61 @@
 )
 
 const (
-	meanRequestInterval = 140 * time.Millisecond // mean
+	meanRequestInterval = 140 * time.Millisecond // mean of the exponential distribution
 	serviceRequestRatio = 0.4
-	templates           = 4 // shared by all tenants, text for text
+	templates           = 4 // prompt templates that all tenants use
 	templateBlocks      = 4
 	maxModelSends       = 4
 	maxServiceSends     = 6
 	callerTimeout       = 45 * time.Second
-	earlyRetryRatio     = 0.08 // callers who send again while they wait
+	earlyRetryRatio     = 0.08 // fraction of service requests that are retried before the first try is answered
 	disconnectRatio     = 0.02
 	requestDigest       = 7
 )
 
 var tenants = []string{"amber", "birch", "cedar"}
 
-// job is what one caller wants.
+// job is one caller's unit of work; it may be sent several times.
 type job struct {
 	w         *world
 	name      string
 	tenant    string
 	toService bool
-	segments  []string // texts of the prompt's blocks
+	segments  []string // prompt text, one element per block
 	maxTokens int
 	sends     int
 	done      bool
 }
 
-// token is the text of one token of the job's answer.
+// token returns the expected text of the generated token at index.
 func (j *job) token(index int) string { return fmt.Sprintf("%s:%d", j.name, index) }
 
-// responseBody is the whole responseBody of a small service.
+// responseBody returns the expected response body of a service job.
 func (j *job) responseBody() string { return "done " + j.name }
 
 func (j *job) content(weights string, block int) blockContent {
 	return blockContent{tenant: j.tenant, weights: weights, text: j.segments[block]}
 }
 
-// exchange is one send of a job to one router.
+// exchange is one request of a job to one router.
 type exchange struct {
 	job        *job
 	id         core.RequestID
 	router     *routerNode
 	toCaller   *stream
-	nextToken  int // token that the caller expects
+	nextToken  int // index of the next token that the caller expects
 	resumeFrom int
 	finished   bool
-	executed   bool // a back end took it
+	executed   bool // accepted by a back end
 }
 
 func (e *exchange) promptTokens() int { return len(e.job.segments)*tokensPerBlock + 1 }
 
-// callers are everybody who sends requests.
+// callers generates all client traffic.
 type callers struct {
 	*process
 	jobCount          int
-	hotTemplateOffset int // raised when other templates become hot
+	hotTemplateOffset int // increased by a fault to shift the popular templates
 	exchanges         []*exchange
 }
 
@@ -100,19 +100,19 @@
 	return created
 }
 
-// segment is the text of one block.
+// segment returns the text of one block, padded to the block size.
 func segment(label string, block int) string {
 	const size = tokensPerBlock * prefix.BytesPerToken
 	text := fmt.Sprintf("%s block %d", label, block)
 	return text + strings.Repeat(".", size-len(text))
 }
 
-// sendAnywhere sends a job to a router that takes connections; callers reach every zone.
+// sendAnywhere sends a job to a random router in any zone.
 func (c *callers) sendAnywhere(j *job, resumeFrom int) {
 	c.sendTo(j, pick(c.w, c.w.routers), resumeFrom)
 }
 
-// sendTo sends a job to one router.
+// sendTo sends a job to the given router and schedules the caller's early retry, timeout and disconnect.
 func (c *callers) sendTo(j *job, router *routerNode, resumeFrom int) {
 	j.sends++
 	ex := &exchange{job: j, router: router, nextToken: resumeFrom, resumeFrom: resumeFrom}
@@ -137,7 +137,7 @@
 	}
 }
 
-// acceptRequest gives a new request to the core.
+// acceptRequest registers a new request and passes it to the core.
 func (r *routerNode) acceptRequest(ex *exchange) {
 	r.nextID++
 	ex.id = r.nextID
@@ -157,7 +157,7 @@
 	r.post(core.EventRequest{Request: request})
 }
 
-// disconnect ends an exchange that the caller no longer waits for.
+// disconnect closes the caller's connection of an unfinished exchange.
 func (c *callers) disconnect(ex *exchange) {
 	if ex.finished {
 		return
@@ -175,7 +175,7 @@
 	}
 }
 
-// retry sends a job once more, unless it has been sent often enough.
+// retry schedules another send of the job, up to the maximum number of sends.
 func (c *callers) retry(ex *exchange, after time.Duration) {
 	j := ex.job
 	limit := maxModelSends
@@ -196,7 +196,7 @@
 	})
 }
 
-// deliverChunk sends a token to the caller, who checks it.
+// deliverChunk delivers a token to the caller, where the oracle checks it.
 func (e *exchange) deliverChunk(action core.ActionChunk) {
 	e.toCaller.send(func() {
 		if e.finished {
@@ -207,7 +207,7 @@
 	})
 }
 
-// deliverFinal sends the deliverFinal answer to the caller, who checks it and may send again.
+// deliverFinal delivers the final response to the caller, where the oracle checks it. A failed job may be retried.
 func (e *exchange) deliverFinal(action core.ActionFinish) {
 	e.toCaller.send(func() {
 		if e.finished {
@@ -227,7 +227,7 @@
 
 func (e *exchange) ended() bool { return e.finished }
 
-// reset tells the caller that the connection died.
+// reset notifies the caller that the connection broke.
 func (e *exchange) reset() {
 	e.toCaller.send(func() {
 		if e.finished {
@@ -239,7 +239,7 @@
 	})
 }
 
-// bodyOf returns the body of a stored answer.
+// bodyOf returns the body of a stored response, or "" for none.
 func bodyOf(answer *ledger.Response) string {
 	if answer == nil {
 		return ""
