--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -22,7 +22,7 @@
 	enginePollInterval = 300 * time.Millisecond
 	pollTimeout        = 500 * time.Millisecond
 	joinInterval       = 400 * time.Millisecond
-	wallStart          = 1_700_000_000_000 // ms
+	wallStart          = 1_700_000_000_000 // Unix ms at virtual time 0
 	lateSyncMin        = 20 * time.Millisecond
 	lateSyncMax        = 400 * time.Millisecond
 	relayTimeout       = 400 * time.Millisecond
@@ -32,27 +32,27 @@
 	Heartbeat: raftHeartbeat, ElectionMin: 7 * raftHeartbeat, ElectionMax: 14 * raftHeartbeat, Lease: 5 * raftHeartbeat,
 }
 
-// controlNode is a control replica with its disk.
+// controlNode is a simulated control replica and its disk.
 type controlNode struct {
 	*process
 	disk      control.Checkpoint
 	identity  control.Identity
-	dataDirs  int // data folders it has had
+	dataDirs  int // number of data directories used so far
 	replica   *control.Replica
 	startedAt time.Duration
-	build     level.Level // that it runs, or that it starts as if keepsBuild is set
+	build     level.Level // current build; the next start uses it if keepsBuild is set
 	wallSkew  time.Duration
 
-	diskStalledUntil time.Duration     // no write ends before
-	syncing          *control.Persist  // being written
-	unsynced         []control.Persist // acknowledged before the sync; only without the guard
-	deferredInputs   []func()          // arrived during a sync
+	diskStalledUntil time.Duration     // no write completes before this time
+	syncing          *control.Persist  // write in progress
+	unsynced         []control.Persist // acknowledged before they were synced; only with SyncBeforeAck off
+	deferredInputs   []func()          // inputs that arrived during a sync
 	wakeup           vtime.Alarm
 	clients          map[uint64]func(control.Response)
 	nextID           uint64
 	joinClient       *controlClient
 
-	keepBuild bool // its next start takes this build again
+	keepBuild bool // the next start uses the same build
 }
 
 func (n *controlNode) clock() time.Duration { return n.elapsed(n.startedAt, n.w.now()) }
@@ -70,7 +70,7 @@
 	return consensus.Member{ID: n.identity.ID, Name: n.name, Address: n.name}
 }
 
-// boot starts the process from its disk.
+// boot starts the process from the state on its disk.
 func (n *controlNode) boot() {
 	n.start()
 	n.startedAt = n.w.now()
@@ -104,13 +104,13 @@
 	n.advance()
 }
 
-// cloneCheckpoint copies what a replica may append to.
+// cloneCheckpoint copies the entries, as the replica may append to the slice.
 func cloneCheckpoint(disk control.Checkpoint) control.Checkpoint {
 	disk.Entries = slices.Clone(disk.Entries)
 	return disk
 }
 
-// crash ends the process. A write that was not synced survives in part, or not at all.
+// crash ends the process. A write that was not synced is lost in part or whole.
 func (n *controlNode) crash(silent bool) {
 	if n.syncing != nil {
 		n.storePartially(*n.syncing)
@@ -119,10 +119,10 @@
 	n.kill(silent)
 }
 
-// storePartially keeps a part of an interrupted write: whole records from its start.
+// storePartially stores a random prefix of the entries of an interrupted write.
 func (n *controlNode) storePartially(persist control.Persist) {
 	if persist.Checkpoint != nil || n.w.chance(0.3) {
-		return // a checkpoint replaces the folder only when it is complete
+		return // checkpoints are written atomically
 	}
 	persist.Entries = persist.Entries[:n.w.random.IntN(len(persist.Entries)+1)]
 	n.store(persist)
@@ -134,7 +134,7 @@
 	}
 }
 
-// handleInput passes something to the replica, after the sync in progress.
+// handleInput runs do on the replica, deferred until a sync in progress has completed.
 func (n *controlNode) handleInput(do func()) {
 	if n.syncing != nil {
 		n.deferredInputs = append(n.deferredInputs, do)
@@ -144,7 +144,7 @@
 	n.advance()
 }
 
-// advance lets the replica work until it waits for a sync or for time.
+// advance runs the replica until it waits for a sync or a timer.
 func (n *controlNode) advance() {
 	n.replica.Tick(n.clock(), n.unixMS())
 	for n.replica.HasWork() {
@@ -163,7 +163,7 @@
 	}
 }
 
-// beginSync writes; the replica goes on when the write is synced.
+// beginSync starts a write; the replica resumes when it is synced.
 func (n *controlNode) beginSync(persist control.Persist) {
 	n.syncing = &persist
 	if n.w.pending.stallDiskOnOrder && n.replica.PendingWeightsCalls() > 0 {
@@ -186,7 +186,8 @@
 	})
 }
 
-// storeAfterAck stores after the acknowledgement has left. A write that then doesn't fit the disk any more loses what was acknowledged.
+// storeAfterAck stores a write after it has been acknowledged. If the write then no longer applies, acknowledged
+// data is lost, which is a violation.
 func (n *controlNode) storeAfterAck(persist control.Persist) {
 	n.unsynced = append(n.unsynced, persist)
 	n.after(n.w.between(lateSyncMin, lateSyncMax), func() {
@@ -228,7 +229,7 @@
 	}
 }
 
-// askLeader passes a question for gateways on.
+// askLeader forwards a gateway's request to the leader.
 func (n *controlNode) askLeader(call control.RelayCall) {
 	number := call.Request.Number
 	failed := func(bool) { n.handleInput(func() { n.replica.ObserveRelay(n.clock(), number, nil) }) }
@@ -261,7 +262,7 @@
 	}
 }
 
-// sendCall passes an order to an engine; some take long on their way.
+// sendCall sends a call to an engine; faults delay some of them.
 func (n *controlNode) sendCall(call control.EngineCall) {
 	target := n.w.engine(call.Engine)
 	delay := time.Duration(0)
@@ -275,7 +276,7 @@
 	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.handleCall(call) }) })
 }
 
-// handle takes a client's request.
+// handle passes a client's request to the replica.
 func (n *controlNode) handle(request control.Request, answer func(control.Response)) {
 	n.handleInput(func() {
 		n.nextID++
@@ -286,7 +287,7 @@
 
 func (n *controlNode) isLeader() bool { return n.replica.Node().Role() == consensus.Leader }
 
-// pollEngines reads the engines' weights and fences while this replica leads.
+// pollEngines polls the weights and fences of the engines while this replica is the leader.
 func (n *controlNode) pollEngines() {
 	if !n.isLeader() {
 		return
@@ -299,8 +300,8 @@
 	}
 }
 
-// joinGroup asks to become a learner while no leader is known: the folder may be empty, or the group may have replaced this
-// replica while it was away. For a member it changes nothing.
+// joinGroup requests to join as a learner while no leader is known: the data directory may be empty, or the group
+// may have replaced this replica while it was down. For a member the request has no effect.
 func (n *controlNode) joinGroup() {
 	if n.replica.Node().LastIndex() > 0 && !n.replica.Node().LeaderSilent(n.clock()) {
 		return
@@ -309,7 +310,7 @@
 	n.joinClient.askOnce(control.Request{Join: &self}, pollTimeout, func(control.Response, bool) {})
 }
 
-// createGroup makes the first replicas: one voter, which the others join, as the processes do.
+// createGroup boots the control replicas: the first bootstraps a group of one voter, which the others join.
 func (w *world) createGroup() {
 	for _, n := range w.controls {
 		n.newDataDir()
@@ -321,7 +322,7 @@
 	}
 }
 
-// leader returns the live replica that leads in the highest term, or nil.
+// leader returns the running leader with the highest term, or nil.
 func (w *world) leader() *controlNode {
 	var best *controlNode
 	for _, n := range w.controls {
