--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -20,7 +20,7 @@
 	streamFaultRatio   = 0.15
 )
 
-// simRates are small and slow, so that a run needs few events.
+// simRates returns low rates and small limits, to keep the number of simulated events small.
 func simRates() engine.Rates {
 	rates := engine.DefaultRates()
 	rates.PrefillTokensPerSecond, rates.ImportTokensPerSecond = 400, 4000
@@ -31,12 +31,13 @@
 	return rates
 }
 
-// blockContent is what a cached block was computed from.
+// blockContent identifies the input that a cached block was computed from.
 type blockContent struct {
 	tenant, weights, text string
 }
 
-// engineNode is a model engine. cached is the oracle's record of what each block of this life really holds.
+// engineNode is a simulated model engine. cached is the oracle's record of the true content of each block of this
+// incarnation.
 type engineNode struct {
 	*process
 	model       *engine.Model
@@ -45,10 +46,10 @@
 	cached      map[prefix.Hash]blockContent
 	shed        rejection
 	advertised  limitPeriod
-	lastOrder   control.Fence // highest order it ever began to carry out, over all lives
+	lastOrder   control.Fence // fence of the last order that it began to load, over all incarnations
 }
 
-// activeAttempt joins a job of the model to the attempt that waits for it.
+// activeAttempt links a router's attempt to the job on the back end.
 type activeAttempt struct {
 	engine   *engineNode
 	request  *exchange
@@ -60,7 +61,7 @@
 
 func (s *activeAttempt) ended() bool { return s.finished }
 
-// reset tells the router that the connection broke.
+// reset notifies the router that the connection broke.
 func (s *activeAttempt) reset() {
 	if s.finished {
 		return
@@ -69,14 +70,14 @@
 	s.router.run(s.stream.toGeneration, func() { s.router.attemptEvent(s, core.EventAttempt{Kind: core.AttemptBroken}) })
 }
 
-// boot starts a life with an empty cache.
+// boot starts a new incarnation with an empty cache.
 func (e *engineNode) boot() {
 	e.start()
 	e.incarnation++
 	e.cached, e.shed, e.advertised = map[prefix.Hash]blockContent{}, rejection{}, limitPeriod{}
 	weights := "w1"
 	if e.model != nil {
-		weights = e.model.Weights // they stay on the machine
+		weights = e.model.Weights // weights survive a restart on the local disk
 	}
 	e.model = engine.New(e.name, e.incarnation, weights, simRates(), tokensPerBlock, e.w.random.Uint64(), e.w.guards)
 	e.model.Import = e.importFrom
@@ -85,7 +86,7 @@
 	e.advance()
 }
 
-// advance runs the model up to now and sends what it produced.
+// advance runs the model up to now and sends its output.
 func (e *engineNode) advance() {
 	for _, output := range e.model.Advance(e.w.now()) {
 		e.handleOutput(output)
@@ -96,10 +97,10 @@
 	}
 }
 
-// incarnationName names the engine's present life.
+// incarnationName identifies the engine's current incarnation.
 func (e *engineNode) incarnationName() string { return fmt.Sprintf("%s/%d", e.name, e.incarnation) }
 
-// submit takes a job, or returns why not.
+// submit passes a job to the model and returns whether it was accepted.
 func (e *engineNode) submit(action core.ActionDispatch, s *activeAttempt) engine.SubmitResult {
 	job := &engine.Job{
 		Attempt: action.Attempt, Origin: fmt.Sprintf("%s#%d", s.router.name, s.router.generation), Tenant: s.request.job.tenant,
@@ -117,7 +118,7 @@
 	return result
 }
 
-// handleOutput checks a job's step against the oracle's records and sends it.
+// handleOutput checks a job's output with the oracle and sends it to the router.
 func (e *engineNode) handleOutput(output engine.Output) {
 	s := output.Job.UserData.(*activeAttempt)
 	if len(output.Computed) > 0 {
@@ -138,7 +139,7 @@
 	e.transmit(s, event)
 }
 
-// recordComputed records what the blocks hold: the prompt's text under the tenant and the weights that computed it.
+// recordComputed records the true content of newly computed blocks.
 func (e *engineNode) recordComputed(s *activeAttempt, output engine.Output) {
 	first := len(output.Job.Blocks) - len(output.Computed)
 	for i, hash := range output.Computed {
@@ -146,7 +147,8 @@
 	}
 }
 
-// transmit sends an event to the router; faulty adapters repeat, drop, cross and cut short what they send.
+// transmit sends an event to the router. During a stream fault some events are duplicated, dropped or misdirected,
+// or the stream is broken.
 func (e *engineNode) transmit(s *activeAttempt, event core.EventAttempt) {
 	send := func(event core.EventAttempt) {
 		s.stream.send(func() {
@@ -182,7 +184,8 @@
 	}
 }
 
-// importFrom copies leading blocks from another engine and what the oracle knows of them.
+// importFrom copies leading blocks from another engine, with the oracle's records of them. It returns the number
+// copied.
 func (e *engineNode) importFrom(source string, chain []prefix.Hash) int {
 	other := e.w.engine(source)
 	if other == nil || !other.up || other.frozen || e.w.isPartitioned(e.process, other.process) {
@@ -195,7 +198,7 @@
 	return copied
 }
 
-// handleCall carries out a fenced call.
+// handleCall passes a fenced call from control to the model.
 func (e *engineNode) handleCall(call control.EngineCall) {
 	e.advance()
 	wasLoading := e.model.Loading()
