--- a/internal/lab/sim/history.go
+++ b/internal/lab/sim/history.go
@@ -8,14 +8,14 @@
 	"kitetiller/internal/settings"
 )
 
-// Operation is one request to the control group as its client saw it. An operation without an answer may take
+// Operation is one request to the control group as its client observed it. An operation without a response may take
 // effect at any later time.
 type Operation struct {
 	Client   string
 	Called   time.Duration
 	Returned time.Duration
 	Answered bool
-	Sends    int // how often it was sent until its answer came
+	Sends    int // number of sends before the first response
 	Change   *settings.Change
 	Outcome  *settings.Outcome
 	Read     *control.ReadReply
@@ -24,14 +24,14 @@
 	End      *ledger.End
 }
 
-// History collects operations in the order of their calls. Resends of one operation count as one until the first
-// answer: they carry the same id, and the group must carry it out once.
+// History records operations in call order. Retries carry the same ID and must take effect once, so those before the
+// first response count as one operation.
 type History struct {
 	Operations []*Operation
-	open       map[string]*Operation // without an answer so far, by client and id
+	open       map[string]*Operation // operations without a response, by operationKey
 }
 
-// operationKey names what a request's resends have in common, or "" for reads.
+// operationKey returns a key that all retries of a request share, or "" for reads.
 func operationKey(client string, request control.Request) string {
 	switch {
 	case request.Change != nil:
@@ -44,7 +44,7 @@
 	return ""
 }
 
-// begin returns the operation that a request belongs to.
+// begin returns the operation that a request belongs to, and adds it if it is new.
 func (h *History) begin(now time.Duration, client string, request control.Request) *Operation {
 	id := operationKey(client, request)
 	if existing := h.open[id]; existing != nil && id != "" {
@@ -57,7 +57,7 @@
 	return operation
 }
 
-// recordCall records a call and returns what notes its answer. Without a history it does nothing.
+// recordCall records a call and returns a function that records its response. Without a history both do nothing.
 func (w *world) recordCall(client string, request control.Request) func(control.Response) {
 	if w.history == nil {
 		return func(control.Response) {}
@@ -73,7 +73,7 @@
 	}
 }
 
-// RunWithHistory runs one seed and returns every request to the control group besides the result.
+// RunWithHistory runs one seed and returns the result and every request to the control group.
 func RunWithHistory(seed uint64) (Result, History) {
 	w := newWorld(seed, allGuardsOn, nil)
 	w.history = &History{open: map[string]*Operation{}}
