--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -12,12 +12,12 @@
 const (
 	maxChangeResends     = 8
 	changeInterval       = 2 * time.Second
-	lostReplyRatio       = 0.15 // share of operators' answers that are lost on the way
-	duplicateChangeRatio = 0.1  // share of answered changes that are sent once more
+	lostReplyRatio       = 0.15 // fraction of replies to operators that are lost
+	duplicateChangeRatio = 0.1  // fraction of answered changes that are sent again
 	readInterval         = 700 * time.Millisecond
 )
 
-// operator edits the tree and resends when an answer is lost.
+// operator edits the settings tree and resends a change whose reply is lost.
 type operator struct {
 	*process
 	control *controlClient
@@ -26,7 +26,7 @@
 
 func pointer[T any](value T) *T { return &value }
 
-// initialTree is what the operators start from.
+// initialTree returns the settings that the first operator submits.
 func initialTree() settings.Tree {
 	return settings.Tree{Nodes: map[settings.Path]settings.Overrides{
 		"/":   {SuspectAfterMS: pointer(1000), MaxConcurrentLoads: pointer(maxConcurrentLoads)},
@@ -53,7 +53,7 @@
 	o.after(4*time.Second, o.editTree)
 }
 
-// submitInitialTree makes the first tree as soon as the group takes it, then goes on editing.
+// submitInitialTree submits the initial tree until a change is accepted, then starts to edit.
 func (o *operator) submitInitialTree() {
 	if o.w.oracle.acknowledged > 0 {
 		o.editTree()
@@ -63,7 +63,7 @@
 	o.after(3*time.Second, o.submitInitialTree)
 }
 
-// read looks at the current version; it must never be older than what anybody was told before.
+// read reads the current version, which must not be older than any version acknowledged before the call.
 func (o *operator) read() {
 	floor := o.w.oracle.acknowledged
 	o.control.askOnce(control.Request{Read: &control.Read{}}, controlTimeout, func(response control.Response, answered bool) {
@@ -73,7 +73,7 @@
 	})
 }
 
-// editTree reads the tree, thinks, and changes something.
+// editTree reads the current version and, after a random delay, submits a change based on it.
 func (o *operator) editTree() {
 	if o.w.now() > activeTime {
 		return
@@ -108,7 +108,7 @@
 	return edits
 }
 
-// submit sends a change until its outcome is known.
+// submit creates a change and sends it, with a limited number of resends.
 func (o *operator) submit(base uint64, edits []settings.Edit) {
 	o.changes++
 	change := settings.Change{Base: base, OperationID: fmt.Sprintf("%s-%d", o.name, o.changes), Author: o.name, Edits: edits}
@@ -134,7 +134,7 @@
 	})
 }
 
-// flipWeights changes the weights of the model service and nothing else.
+// flipWeights submits a change of only the model service's weights.
 func (o *operator) flipWeights() {
 	base := o.w.oracle.acknowledged
 	if base == 0 {
