--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -23,10 +23,10 @@
 	attemptTimeout      = 60 * time.Second
 	drainTimeout        = 40 * time.Second
 	drainCheckInterval  = 20 * time.Millisecond
-	lateReplyRatio      = 0.02 // share of heartbeat replies that arrive once more, late
+	lateReplyRatio      = 0.02 // fraction of heartbeat replies that arrive a second time, late
 )
 
-// routerNode is a router process: the core, its session and its disk.
+// routerNode is a simulated router process: the core, its session and its disk.
 type routerNode struct {
 	*process
 	core           *core.Core
@@ -39,12 +39,12 @@
 	exchanges      map[core.RequestID]*exchange
 	attempts       map[core.AttemptID]*activeAttempt
 	nextID         core.RequestID
-	stopping       bool // a planned stop is in progress and no fault has disturbed it
+	stopping       bool // a planned stop is in progress, undisturbed by faults
 }
 
 func (r *routerNode) clock() time.Duration { return r.elapsed(r.startedAt, r.w.now()) }
 
-// boot starts the process from its disk.
+// boot starts the process from the state on its disk.
 func (r *routerNode) boot() {
 	r.start()
 	r.incarnation++
@@ -78,7 +78,7 @@
 	}
 }
 
-// post passes events to the core and carries out what it decides.
+// post passes events to the core and performs the resulting actions.
 func (r *routerNode) post(events ...core.Event) {
 	for _, action := range r.core.Tick(r.clock(), events) {
 		r.perform(action)
@@ -94,7 +94,7 @@
 	}
 }
 
-// renewSession renews the session again and again.
+// renewSession sends a heartbeat and schedules the next one.
 func (r *routerNode) renewSession() {
 	sent := r.clock()
 	beat := r.session.Heartbeat()
@@ -111,7 +111,7 @@
 	})
 }
 
-// handleReply syncs new settings before they are used and acknowledged.
+// handleReply processes a heartbeat reply. New settings are synced to disk before they are used and acknowledged.
 func (r *routerNode) handleReply(sent time.Duration, reply control.HeartbeatReply, done func(time.Duration)) {
 	step := r.session.HandleReply(sent, reply)
 	if step.RejectReason != "" || step.ToSync == nil {
@@ -129,7 +129,7 @@
 	})
 }
 
-// sessionEvents is what a sessionEvents session tells the core beside settings.
+// sessionEvents returns the lease and, if known, the peers of a renewed session as events for the core.
 func (r *routerNode) sessionEvents(step session.ReplyActions) []core.Event {
 	if step.Peers == nil {
 		return []core.Event{step.Lease}
@@ -239,7 +239,7 @@
 	r.w.oracle.checkSend(pairOf(r.process, e.incarnationName()))
 	r.w.oracle.checkLimitedSend(pairOf(r.process, e.incarnationName()), e.advertised)
 	r.w.call(r.process, e.process, attemptTimeout, func(respond func(func())) {
-		incarnation := e.incarnation // that speaks, whichever was meant
+		incarnation := e.incarnation // the responding one, which may not be the one addressed
 		if backoff := e.shed.requestedBackoff(e.w.now()); backoff > 0 {
 			receiver := pairOf(r.process, e.incarnationName())
 			respond(func() {
@@ -283,13 +283,13 @@
 	}, func(refused bool) { r.attemptEvent(s, core.EventAttempt{Kind: failureKind(refused)}) })
 }
 
-// attemptEvent passes what a back end answered to the core.
-// handleRejection takes up an engine's refusal, with what it says of itself.
+// handleRejection passes an engine's rejection and its pushback signals to the core.
 func (r *routerNode) handleRejection(s *activeAttempt, action core.ActionDispatch, incarnation uint64, signals pushback.Signals) {
 	r.post(core.EventPushback{Name: action.Backend, Incarnation: incarnation, Signals: signals})
 	r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 }
 
+// attemptEvent passes a back end's response to an attempt to the core.
 func (r *routerNode) attemptEvent(s *activeAttempt, event core.EventAttempt) {
 	event.ID, event.Attempt = s.request.id, s.attempt
 	r.post(event)
@@ -318,7 +318,7 @@
 	}, func(bool) {})
 }
 
-// plannedStop drains and ends the process; then runs when it has ended.
+// plannedStop drains the router and ends the process, then calls then.
 func (r *routerNode) plannedStop(then func()) {
 	if !r.up {
 		return
@@ -344,7 +344,7 @@
 	check()
 }
 
-// announceDispatch tells the other routers of a send.
+// announceDispatch notifies the other routers of a dispatch.
 func (r *routerNode) announceDispatch(dispatch core.PeerDispatch) {
 	for _, peer := range r.w.routers {
 		if peer != r {
