--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -9,24 +9,24 @@
 	"kitetiller/internal/prefix"
 )
 
-// allGuardsOn is the set with every protection on.
+// allGuardsOn is the guard set with every protection on.
 var allGuardsOn = guard.Set{}
 
 const (
 	engineCount       = 4
 	serviceCount      = 2
 	operatorCount     = 2
-	spareReplicaRatio = 0.4 // share of seeds with a spare control replica
+	spareReplicaRatio = 0.4 // fraction of seeds with a spare control replica
 	seedStream        = 11
 )
 
 // zones are the zones of the simulated site, each with a control replica, a router and back ends.
 var zones = []string{"z1", "z2", "z3"}
 
-// Result is what one seed gave.
+// Result is the outcome of one seed.
 type Result struct {
 	Seed      uint64
-	Violation *Violation // nil when everything held
+	Violation *Violation // nil if every invariant held
 	Faults    int
 	Requests  int
 	Complete  int
@@ -39,7 +39,7 @@
 	return newWorld(seed, guards, trace).finish()
 }
 
-// finish runs a world to its end and checks that it came to rest.
+// finish runs the world to its end and checks that it converged after all faults were removed.
 func (w *world) finish() Result {
 	for w.step(activeTime) {
 	}
@@ -60,12 +60,14 @@
 	return newWorldWithGateways(fleetGateways, seed, guards, trace)
 }
 
-// RunLarge runs one seed with so many gateways, which control's replicas answer for the leader.
+// RunLarge runs one seed with the given number of gateways. If it exceeds the default, control replicas answer
+// gateways on behalf of the leader.
 func RunLarge(gateways int, seed uint64, guards guard.Set) Result {
 	return newWorldWithGateways(gateways, seed, guards, nil).finish()
 }
 
-// newWorldWithGateways makes a world with so many gateways. In every other one, and with more than usual, replicas answer them for the leader.
+// newWorldWithGateways creates a world with the given number of gateways. For even seeds, and with more gateways
+// than the default, control replicas answer gateways on behalf of the leader.
 func newWorldWithGateways(gateways int, seed uint64, guards guard.Set, trace io.Writer) *world {
 	w := &world{seed: seed, random: rand.New(rand.NewPCG(seed, seedStream)), guards: guards, trace: trace, gatewayCount: gateways}
 	w.relaysWatches = seed%2 == 0 || gateways > fleetGateways
@@ -96,7 +98,7 @@
 	return w
 }
 
-// createNodes lays the processes out over the zones.
+// createNodes creates the processes and distributes them over the zones.
 func (w *world) createNodes() {
 	controls := groupSize
 	if w.chance(spareReplicaRatio) {
@@ -122,7 +124,7 @@
 	}
 }
 
-// healAll ends every fault.
+// healAll removes every fault and restarts all processes that are down.
 func (w *world) healAll() {
 	w.logf("all faults heal")
 	w.network.partitioned = map[[2]string]int{}
