--- a/internal/lab/sim/services.go
+++ b/internal/lab/sim/services.go
@@ -9,7 +9,7 @@
 
 const smallService = "portal"
 
-// serviceNode is a small back end whose requests may not be repeated.
+// serviceNode is a simulated service back end whose requests must not run twice.
 type serviceNode struct {
 	*process
 	incarnation uint64
@@ -22,7 +22,7 @@
 	s.running = 0
 }
 
-// serve runs a request. Within a fault's time it may read and close without running, or run and lose the answer.
+// serve runs a request. During a service fault it may close the connection without running it, or lose the response.
 func (s *serviceNode) serve(ex *exchange, attempt core.AttemptID, answer func(core.EventAttempt)) {
 	faulty := s.w.now() < s.w.pending.servicesUntil
 	if faulty && s.w.chance(0.25) {
@@ -47,7 +47,7 @@
 	return &core.BackendReport{Incarnation: s.incarnation, Load: core.Load{Running: s.running}}
 }
 
-// service returns a small back end by name, or nil.
+// service returns a service back end by name, or nil.
 func (w *world) service(name string) *serviceNode {
 	for _, s := range w.services {
 		if s.name == name {
