--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -6,7 +6,7 @@
 	"kitetiller/internal/settings"
 )
 
-// checkSettled checks, after all faults have healed, that everything came to rest where it must.
+// checkSettled checks that the system has converged to the required state after all faults were removed.
 func (o *oracle) checkSettled() {
 	if o.violation != nil {
 		return
@@ -23,8 +23,8 @@
 	o.checkResponses()
 }
 
-// checkMembers checks that every replica belongs to the group again: one that was replaced while it was away must come back
-// as a spare, or the group runs out of them.
+// checkMembers checks that every replica is a member of the group. One that was replaced while it was down must
+// rejoin as a spare.
 func (o *oracle) checkMembers(leader *controlNode) {
 	membership := leader.replica.Node().Membership()
 	for _, n := range o.w.controls {
@@ -35,7 +35,7 @@
 	}
 }
 
-// checkHistory compares the final history with what operators were told.
+// checkHistory checks that the final history matches the outcomes that operators received.
 func (o *oracle) checkHistory(leader *controlNode) {
 	final := leader.replica.Machine().Settings()
 	if final.Version() < o.acknowledged {
@@ -57,7 +57,7 @@
 	}
 }
 
-// checkRouters checks that the newest version is in use everywhere.
+// checkRouters checks that every router has a valid lease and uses the newest settings, which are in force.
 func (o *oracle) checkRouters(leader *controlNode) {
 	newest := leader.replica.Machine().Settings().Version()
 	for _, r := range o.w.routers {
@@ -71,7 +71,7 @@
 	}
 }
 
-// checkEngines checks that every engine holds the weights that the tree wants.
+// checkEngines checks that every engine has loaded the weights that the settings specify.
 func (o *oracle) checkEngines(leader *controlNode) {
 	tree := leader.replica.Machine().Settings().Tree()
 	for _, e := range o.w.engines {
@@ -83,7 +83,7 @@
 	}
 }
 
-// checkResponses checks that no caller still waits.
+// checkResponses checks that every exchange has finished.
 func (o *oracle) checkResponses() {
 	for _, ex := range o.w.callers.exchanges {
 		if !ex.finished {
