--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -11,10 +11,10 @@
 	"kitetiller/internal/settings"
 )
 
-// Invariant names one must-hold line of the brief.
+// Invariant names a property that must hold in every run.
 type Invariant string
 
-// The invariants, in the order of the brief.
+// Invariants of the whole system.
 const (
 	CacheIsolation     Invariant = "cache-isolation"
 	StreamComplete     Invariant = "stream-whole"
@@ -27,7 +27,7 @@
 	SettingsDurable    Invariant = "settings-hold"
 )
 
-// Rules beside the brief's lines.
+// Additional invariants, of gateways, limits and mixed builds.
 const (
 	QuarantineEnforced       Invariant = "held-back"
 	OldWeightsLimitRespected Invariant = "weights-in-time"
@@ -36,13 +36,13 @@
 	BuildsCompatible         Invariant = "builds-known"
 )
 
-// InvariantHelp describes an invariant and how it is checked.
+// InvariantHelp is the description of an invariant and its check.
 type InvariantHelp struct {
 	Name Invariant
 	Help string
 }
 
-// Invariants lists every invariant with the check that the oracle makes.
+// Invariants returns the invariants of the whole system with their descriptions.
 func Invariants() []InvariantHelp {
 	return []InvariantHelp{
 		{CacheIsolation, "each reused block was computed by this life of the engine, or copied, for the same tenant, weights and text; no job relies on another life"},
@@ -57,7 +57,7 @@
 	}
 }
 
-// FleetRules lists what is checked beside the invariants.
+// FleetRules returns the additional invariants with their descriptions.
 func FleetRules() []InvariantHelp {
 	return []InvariantHelp{
 		{QuarantineEnforced, "a request that ends whoever runs it gets three back ends more at the most, once the news of the third had time; one that ends well is never held back"},
@@ -77,10 +77,10 @@
 
 const (
 	drainDispatchGrace = 4 * time.Second
-	recoveryTime       = 8 * time.Second // without control faults, after which a router must get its lease
+	recoveryTime       = 8 * time.Second // time without control faults after which a router must have a lease
 )
 
-// oracle is the simple model of what callers and operators saw, and of what back ends did.
+// oracle records what callers, operators and back ends observe, and checks it against the invariants.
 type oracle struct {
 	w         *world
 	violation *Violation
@@ -89,15 +89,15 @@
 	changes   int
 	accepted  int
 
-	runsByKey          map[string]int // by key
+	runsByKey          map[string]int // number of executions by idempotency key
 	reportedNotRun     map[*exchange]bool
-	outcomes           map[string]settings.Outcome // first outcome told, by operation id
-	operationByVersion map[uint64]string           // operation id by accepted version
-	acknowledged       uint64                      // highest version anybody was told of
-	inForce            uint64                      // highest version said to be in force
-	routerVersions     map[string]uint64           // newest version a router decided by
-	firstAccept        time.Duration               // when the first change was accepted
-	controlFaultEnd    time.Duration               // end of the newest fault that may have stopped control
+	outcomes           map[string]settings.Outcome // first outcome reported, by operation ID
+	operationByVersion map[uint64]string           // ID of the accepted operation, by version
+	acknowledged       uint64                      // highest version returned to any operator
+	inForce            uint64                      // highest version reported as in force
+	routerVersions     map[string]uint64           // newest version used, by router
+	firstAccept        time.Duration               // when an operator first saw a change accepted
+	controlFaultEnd    time.Duration               // end of the latest fault that may have interrupted control
 	fleet              fleetOracle
 	signals            signalOracle
 	limits             limitOracle
@@ -113,7 +113,7 @@
 	}
 }
 
-// fail records the first violation; the run ends there.
+// fail records the first violation, which ends the run.
 func (o *oracle) fail(invariant Invariant, format string, arguments ...any) {
 	if o.violation != nil {
 		return
@@ -122,7 +122,7 @@
 	o.w.logf("VIOLATION %s: %s", invariant, o.violation.Detail)
 }
 
-// engineAccepted checks a job at the moment an engine takes it.
+// engineAccepted checks a job when an engine accepts it.
 func (o *oracle) engineAccepted(e *engineNode, job *engine.Job, s *activeAttempt, result engine.SubmitResult) {
 	ex := s.request
 	ex.executed = true
@@ -135,7 +135,8 @@
 	}
 }
 
-// checkDraining checks a send at the moment the router makes it; what was on its way before may arrive late.
+// checkDraining checks that a router dispatches nothing to a draining back end. It checks at dispatch, as earlier
+// requests may still be in transit.
 func (o *oracle) checkDraining(r *routerNode, backend string) {
 	leftAt := o.w.drainingSince(backend)
 	if leftAt > 0 && o.w.now() > leftAt+drainDispatchGrace {
@@ -143,7 +144,7 @@
 	}
 }
 
-// engineReused checks every block that a job reuses against what the block really holds.
+// engineReused checks the true content of every cached block that a job reuses.
 func (o *oracle) engineReused(e *engineNode, s *activeAttempt, output engine.Output) {
 	for block := range output.Cached / tokensPerBlock {
 		wanted := s.request.job.content(output.Weights, block)
@@ -155,7 +156,7 @@
 	}
 }
 
-// engineLoads checks that an engine never carries out an older order after a newer one.
+// engineLoads checks that an engine never executes an older weights order after a newer one.
 func (o *oracle) engineLoads(e *engineNode, call control.EngineCall) {
 	if call.Fence.Less(e.lastOrder) {
 		o.fail(SettingsDurable, "%s loads %s by order %d/%d after order %d/%d",
@@ -176,7 +177,7 @@
 	}
 }
 
-// routerFinished checks a final answer at the moment the router gives it.
+// routerFinished checks a final response when the router sends it.
 func (o *oracle) routerFinished(r *routerNode, ex *exchange, final core.ActionFinish) {
 	if final.Run == core.RunNot {
 		o.reportedNotRun[ex] = true
@@ -197,7 +198,7 @@
 	}
 }
 
-// routerDispatched checks the settings that a new request is decided by.
+// routerDispatched checks that a new request is dispatched under settings that are in force.
 func (o *oracle) routerDispatched(r *routerNode, ex *exchange, action core.ActionDispatch) {
 	o.checkDraining(r, action.Backend)
 	if action.ResumeFrom > ex.resumeFrom || r.zone == serveLastZone {
@@ -208,7 +209,7 @@
 	}
 }
 
-// routerTicked checks that the version a router uses never goes back, restarts included.
+// routerTicked checks that the settings version a router uses never decreases, also across restarts.
 func (o *oracle) routerTicked(r *routerNode) {
 	version := r.core.SettingsVersion()
 	if version == 0 {
@@ -220,14 +221,14 @@
 	o.routerVersions[r.name] = version
 }
 
-// routerStopped checks a planned stop at its end.
+// routerStopped checks that no request is in flight at the end of a planned stop.
 func (o *oracle) routerStopped(r *routerNode) {
 	if r.stopping && len(r.exchanges) > 0 {
 		o.fail(PlannedStop, "%s ends a planned stop with %d requests in flight", r.name, len(r.exchanges))
 	}
 }
 
-// callerReceived checks a token.
+// callerReceived checks the index and text of a token.
 func (o *oracle) callerReceived(ex *exchange, chunk core.ActionChunk) {
 	want := ex.job.token(ex.nextToken)
 	switch {
@@ -239,7 +240,7 @@
 	}
 }
 
-// callerFinished checks a final answer.
+// callerFinished checks that a completed response is the whole expected one.
 func (o *oracle) callerFinished(ex *exchange, final core.ActionFinish) {
 	if final.Reason != core.ReasonComplete && final.Reason != core.ReasonReplayed {
 		return
@@ -256,7 +257,7 @@
 	}
 }
 
-// controlAnswered notes what a replica says is in force.
+// controlAnswered records the version that a replica reports as in force.
 func (o *oracle) controlAnswered(n *controlNode, response control.Response) {
 	if response.Read != nil && response.Read.InForce > o.inForce {
 		o.inForce = response.Read.InForce
@@ -264,7 +265,7 @@
 	}
 }
 
-// operatorRead checks that reads are never older than what was known when they began.
+// operatorRead checks that a read returns no version older than floor, the highest acknowledged when it began.
 func (o *oracle) operatorRead(name string, floor uint64, read *control.ReadReply) {
 	if read.Version < floor {
 		o.fail(SettingsDurable, "%s read version %d after version %d was accepted", name, read.Version, floor)
@@ -272,7 +273,7 @@
 	o.acknowledged = max(o.acknowledged, read.Version)
 }
 
-// operatorOutcome checks the outcome of a change against the first one and against all others.
+// operatorOutcome checks the outcome of a change against its earlier outcome and against all other accepted changes.
 func (o *oracle) operatorOutcome(change settings.Change, outcome settings.Outcome) {
 	first, known := o.outcomes[change.OperationID]
 	if known && (first.Kind != outcome.Kind || first.Version != outcome.Version) {
