--- a/internal/lab/sim/linear_test.go
+++ b/internal/lab/sim/linear_test.go
@@ -16,16 +16,16 @@
 
 const (
 	linearSeeds  = 12
-	linearWithin = 60 * time.Second // a check that takes longer is undecided, and fails
+	linearWithin = 60 * time.Second // a check that exceeds it is undecided and fails the test
 )
 
-// settingsState is the simple model of the settings tree: its version, and the first outcome of each operation id.
+// settingsState models the settings tree: its version and the first outcome of each operation ID.
 type settingsState struct {
 	version  uint64
 	outcomes map[string]settings.Outcome
 }
 
-// settingsModel says how settings changes and reads behave when they take effect one after the other.
+// settingsModel is the sequential specification of settings changes and reads.
 func settingsModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return settingsState{outcomes: map[string]settings.Outcome{}} },
@@ -48,7 +48,7 @@
 
 func sameOutcome(a, b settings.Outcome) bool { return a.Kind == b.Kind && a.Version == b.Version }
 
-// apply takes a change: the first outcome of its operation id, or a new one.
+// apply applies a change. A repeated operation ID returns the first outcome.
 func (s settingsState) apply(change settings.Change) (settingsState, settings.Outcome) {
 	if first, known := s.outcomes[change.OperationID]; known {
 		return s, first
@@ -63,15 +63,15 @@
 	return next, outcome
 }
 
-// keyState is the simple model of one key of the run ledger.
+// keyState models one key of the run ledger.
 type keyState struct {
 	state     ledger.State // "" when the key is free
 	claimID   string
-	withdrawn string // claim ids released, each between commas
+	withdrawn string // released claim IDs, each enclosed in commas
 }
 
-// ledgerModel says how claims and ends of one key behave. A session may end at any time, which turns a running claim
-// into an unknown one; that is why a step has several results.
+// ledgerModel is the sequential specification of claims and ends of one key. It is nondeterministic, as a session
+// may end at any time, which turns a running claim into an unknown one.
 func ledgerModel() porcupine.NondeterministicModel {
 	return porcupine.NondeterministicModel{
 		Init: func() []any { return []any{keyState{}} },
@@ -104,7 +104,7 @@
 	}
 	next, kinds := s.claim(asked.Claim.ClaimID)
 	if s.state == "" && got.Answered && got.Sends > 1 && got.Claimed != nil && got.Claimed.Kind == ledger.RunUnknown && kinds == ledger.Granted {
-		next.state = ledger.StateUnknown // an earlier send was granted, its answer lost, and the session ended before the last one
+		next.state = ledger.StateUnknown // an earlier send was granted, its response lost, and the session ended before the last send
 		return next, true
 	}
 	if !got.Answered || got.Claimed == nil {
@@ -158,7 +158,7 @@
 	return s
 }
 
-// toPorcupine turns operations into the checker's form; one without an answer never returns.
+// toPorcupine converts operations to Porcupine's type. An operation without a response never returns.
 func toPorcupine(operations []*Operation) []porcupine.Operation {
 	clients := map[string]int{}
 	var list []porcupine.Operation
@@ -175,7 +175,7 @@
 	return list
 }
 
-// isSetting tells changes and answered reads; a read without an answer says nothing.
+// isSetting reports whether the operation is a settings change or an answered read.
 func isSetting(operation *Operation) bool {
 	return operation.Change != nil || (operation.Answered && operation.Read != nil)
 }
@@ -217,7 +217,7 @@
 	}
 }
 
-// TestCheckersRejectInvalidHistory: a read of an older version after a newer one was answered must be refused.
+// TestCheckersRejectInvalidHistory checks that a stale read makes the history not linearizable.
 func TestCheckersRejectInvalidHistory(t *testing.T) {
 	_, history := RunWithHistory(1)
 	var reads []*Operation
@@ -237,6 +237,6 @@
 		}
 	}
 	if got := porcupine.CheckOperationsTimeout(settingsModel(), toPorcupine(operations), linearWithin); got != porcupine.Illegal {
-		t.Fatalf("a stale read is judged %v", got)
+		t.Fatalf("history with a stale read: got %v, want Illegal", got)
 	}
 }
