--- a/internal/lab/sim/process_test.go
+++ b/internal/lab/sim/process_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestTimerPausesOnlyDuringSuspension: what is left of a timer when its machine is suspended passes after it. One that was due meanwhile
-// waited for the whole suspension again, so that a router that was suspended for 8 s asked for its lease 8 s after it woke.
+// TestTimerPausesOnlyDuringSuspension guards against a timer that came due during a suspension being delayed by the
+// whole suspension a second time.
 func TestTimerPausesOnlyDuringSuspension(t *testing.T) {
 	for _, due := range []time.Duration{time.Second, 20 * time.Second} {
 		w := &world{random: rand.New(rand.NewPCG(1, 1))}
@@ -19,7 +19,7 @@
 		for w.clock.Step(time.Minute) {
 		}
 		if wanted := due + 8*time.Second; firedAt != wanted {
-			t.Errorf("a timer of %v rang at %v, wanted %v", due, firedAt, wanted)
+			t.Errorf("timer of %v fired at %v, want %v", due, firedAt, wanted)
 		}
 	}
 }
