--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -14,7 +14,7 @@
 	guardSeeds = 200
 )
 
-// firstViolation runs seeds until one breaks an invariant, and returns it, or nil.
+// firstViolation runs seeds in parallel until one violates an invariant, and returns its result, or nil.
 func firstViolation(guards guard.Set, firstSeed uint64, seeds int) *Result {
 	var mutex sync.Mutex
 	var found *Result
@@ -50,13 +50,13 @@
 	}
 }
 
-// TestWithoutAnyGuardAnInvariantBreaks: with any one protection off, some seed must break an invariant. A check that cannot fail
-// proves nothing.
+// TestWithoutAnyGuardAnInvariantBreaks checks that some seed violates an invariant when any single guard is off, which
+// shows that the checks can fail.
 func TestWithoutAnyGuardAnInvariantBreaks(t *testing.T) {
 	for _, off := range guard.All() {
 		t.Run(string(off), func(t *testing.T) {
 			if firstViolation(guard.Without(off), 1, guardSeeds) == nil {
-				t.Fatalf("%d seeds without %s broke nothing", guardSeeds, off)
+				t.Fatalf("%d seeds without guard %s: got no violation, want one", guardSeeds, off)
 			}
 		})
 	}
@@ -73,11 +73,11 @@
 
 func TestInvariantCount(t *testing.T) {
 	if got := len(Invariants()); got != 9 {
-		t.Fatalf("%d invariants, the brief has nine", got)
+		t.Fatalf("got %d invariants, want 9", got)
 	}
 }
 
-// TestManyGatewaysServedByFollowers: 300 gateways, which replicas answer for the leader, under the same faults.
+// TestManyGatewaysServedByFollowers runs 300 gateways, which control replicas answer on behalf of the leader.
 func TestManyGatewaysServedByFollowers(t *testing.T) {
 	result := RunLarge(300, 1, guard.Set{})
 	if result.Violation != nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestManyGatewaysShareAnAdvertisedLimit: 300 gateways before four back ends that name limits, under the same faults.
+// TestManyGatewaysShareAnAdvertisedLimit runs 300 gateways with four back ends that advertise limits.
 func TestManyGatewaysShareAnAdvertisedLimit(t *testing.T) {
 	for _, seed := range []uint64{4, 7} {
 		if result := RunLarge(300, seed, guard.Set{}); result.Violation != nil {
@@ -93,12 +93,12 @@
 		}
 	}
 	if result := RunLarge(300, 4, guard.Without(guard.AdvertisedLimitCheck)); result.Violation == nil || result.Violation.Invariant != AdvertisedLimitRespected {
-		t.Errorf("without the check: %+v", result.Violation)
+		t.Errorf("without the advertised-limit check: got violation %+v, want AdvertisedLimitRespected", result.Violation)
 	}
 }
 
-// TestRegressionSeeds: 57 a request held back after a time in which nothing could be sent, 5667 and 6409 requests in a rest that a
-// back end had asked for.
+// TestRegressionSeeds covers a request that was quarantined after a time in which nothing could be sent (seed 57), and
+// requests during the backoff that a back end had asked for (seeds 5667 and 6409).
 func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []uint64{57, 5667, 6409} {
 		if found := firstViolation(guard.Set{}, seed, 1); found != nil {
@@ -107,13 +107,8 @@
 	}
 }
 
-// An engine had started again, and a router that didn't know yet sent a request to its last life. The new life turned it away and asked for rest;
-// the router noted that of the last life, learnt of the new one, and sent it three requests more in its rest. The trace with the sends of that run:
-//
-//	28.297985  router-1 hears rest 4.943614285s of engine-1/2, meant for 1
-//	30.753023  router-1 sends to engine-1/2, meant for 2; so at 31.056608 and 31.079562
-//
-// A refusal tells which life speaks, and its words are noted of that one.
+// TestPushbackAppliesToTheRespondingIncarnation guards against pushback from a restarted engine being recorded for the
+// incarnation that the request was addressed to, so that the router ignored the new one's backoff.
 func TestPushbackAppliesToTheRespondingIncarnation(t *testing.T) {
 	if found := firstViolation(guard.Set{}, 32146, 1); found != nil {
 		t.Errorf("seed %d breaks %s at %v: %s", found.Seed, found.Violation.Invariant, found.Violation.At, found.Violation.Detail)
