--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -40,7 +40,7 @@
 	dataDirs  int // number of data directories used so far
 	replica   *control.Replica
 	startedAt time.Duration
-	build     level.Level // current build; the next start uses it if keepsBuild is set
+	build     level.Level // current build; the next start uses it if keepBuild is set
 	wallSkew  time.Duration
 
 	diskStalledUntil time.Duration     // no write completes before this time
@@ -59,7 +59,7 @@
 
 func (n *controlNode) unixMS() int64 { return wallStart + (n.w.now() + n.wallSkew).Milliseconds() }
 
-// newDataDir makes the disk empty; the replica then has a new identity.
+// newDataDir replaces the data directory by an empty one and gives the replica a new identity.
 func (n *controlNode) newDataDir() {
 	n.dataDirs++
 	n.disk = control.Checkpoint{}
@@ -95,7 +95,7 @@
 		return
 	}
 	if err != nil {
-		panic("sim: disk of " + n.name + " cannot be read: " + err.Error())
+		panic("sim: cannot restore " + n.name + " from its disk: " + err.Error())
 	}
 	n.replica = replica
 	n.w.logf("%s starts as %s at entry %d", n.name, n.identity.ID, replica.Node().LastIndex())
@@ -130,7 +130,7 @@
 
 func (n *controlNode) store(persist control.Persist) {
 	if err := n.disk.Apply(persist); err != nil {
-		panic("sim: " + n.name + " wrote what cannot be stored: " + err.Error())
+		panic("sim: cannot apply a write to the disk of " + n.name + ": " + err.Error())
 	}
 }
 
@@ -192,7 +192,7 @@
 	n.unsynced = append(n.unsynced, persist)
 	n.after(n.w.between(lateSyncMin, lateSyncMax), func() {
 		if err := n.disk.Apply(n.unsynced[0]); err != nil {
-			n.w.oracle.fail(SettingsDurable, "%s acknowledged what it then couldn't store: %v", n.name, err)
+			n.w.oracle.fail(SettingsDurable, "%s acknowledged a write that it could not store: %v", n.name, err)
 		}
 		n.unsynced = n.unsynced[1:]
 	})
@@ -262,7 +262,7 @@
 	}
 }
 
-// sendCall sends a call to an engine; faults delay some of them.
+// sendCall sends a call to an engine, some of them after a random delay.
 func (n *controlNode) sendCall(call control.EngineCall) {
 	target := n.w.engine(call.Engine)
 	delay := time.Duration(0)
