--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -91,7 +91,7 @@
 func marshal(value any) json.RawMessage {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic("sim: value cannot be written: " + err.Error())
+		panic("sim: cannot encode a setting: " + err.Error())
 	}
 	return data
 }
