--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -127,7 +127,7 @@
 	ex := s.request
 	ex.executed = true
 	if o.reportedNotRun[ex] {
-		o.fail(NotRunHonored, "%s took %s, which was refused as not run", e.name, ex.job.name)
+		o.fail(NotRunHonored, "%s accepted %s, which was rejected as not run", e.name, ex.job.name)
 	}
 	if job.ExpectedCachedTokens > 0 && result == engine.Accepted && job.Incarnation != e.model.Incarnation {
 		o.fail(CacheIsolation, "%s, incarnation %d, runs %s relying on %d tokens of incarnation %d",
@@ -140,7 +140,7 @@
 func (o *oracle) checkDraining(r *routerNode, backend string) {
 	leftAt := o.w.drainingSince(backend)
 	if leftAt > 0 && o.w.now() > leftAt+drainDispatchGrace {
-		o.fail(DrainRespected, "%s sent new work to %s %v after it was said to leave", r.name, backend, o.w.now()-leftAt)
+		o.fail(DrainRespected, "%s sent a new request to %s %v after the machine list marked it as draining", r.name, backend, o.w.now()-leftAt)
 	}
 }
 
@@ -173,7 +173,7 @@
 		o.fail(AtMostOnce, "%s ran %d times, now on %s", key, o.runsByKey[key], s.name)
 	}
 	if o.reportedNotRun[ex] {
-		o.fail(NotRunHonored, "%s ran %s, which was refused as not run", s.name, key)
+		o.fail(NotRunHonored, "%s ran %s, which was rejected as not run", s.name, key)
 	}
 }
 
@@ -182,7 +182,7 @@
 	if final.Run == core.RunNot {
 		o.reportedNotRun[ex] = true
 		if ex.executed || (ex.job.toService && o.runsByKey[ex.job.tenant+"/"+ex.job.name] > 0) {
-			o.fail(NotRunHonored, "%s refused %s as not run (%s), but it ran", r.name, ex.job.name, final.Reason)
+			o.fail(NotRunHonored, "%s rejected %s as not run (%s), but it ran", r.name, ex.job.name, final.Reason)
 		}
 	}
 	if final.Reason != core.ReasonNoLease && final.Reason != core.ReasonNoSettings {
@@ -190,11 +190,11 @@
 	}
 	servesLast := r.zone == serveLastZone && r.syncedSettings.Version > 0
 	if servesLast {
-		o.fail(ServesAfterRestart, "%s refused %s as %s although it holds settings %d", r.name, ex.job.name, final.Reason, r.syncedSettings.Version)
+		o.fail(ServesAfterRestart, "%s rejected %s as %s although it has settings version %d", r.name, ex.job.name, final.Reason, r.syncedSettings.Version)
 	}
 	recovered := o.accepted > 0 && o.w.now() > max(o.controlFaultEnd, r.resumedAt, o.firstAccept)+recoveryTime
 	if recovered && r.syncedSettings.Version > 0 {
-		o.fail(ServesAfterRestart, "%s refused %s as %s while control was well", r.name, ex.job.name, final.Reason)
+		o.fail(ServesAfterRestart, "%s rejected %s as %s while control was available", r.name, ex.job.name, final.Reason)
 	}
 }
 
@@ -205,7 +205,7 @@
 		return
 	}
 	if action.SettingsVersion < o.inForce {
-		o.fail(SettingsDurable, "%s decided on %s by version %d after version %d was in force", r.name, ex.job.name, action.SettingsVersion, o.inForce)
+		o.fail(SettingsDurable, "%s dispatched %s under version %d after version %d was in force", r.name, ex.job.name, action.SettingsVersion, o.inForce)
 	}
 }
 
@@ -234,9 +234,9 @@
 	switch {
 	case chunk.Text == want && chunk.Index == ex.nextToken:
 	case len(chunk.Text) > len(ex.job.name) && chunk.Text[:len(ex.job.name)+1] == ex.job.name+":":
-		o.fail(StreamComplete, "%s got token %d as %q, wanted %q", ex.job.name, chunk.Index, chunk.Text, want)
+		o.fail(StreamComplete, "%s got token %d as %q, want %q", ex.job.name, chunk.Index, chunk.Text, want)
 	default:
-		o.fail(CorrectResponse, "%s got %q of another request, wanted %q", ex.job.name, chunk.Text, want)
+		o.fail(CorrectResponse, "%s got %q of another request, want %q", ex.job.name, chunk.Text, want)
 	}
 }
 
@@ -248,7 +248,7 @@
 	o.complete++
 	if ex.job.toService {
 		if got := bodyOf(final.Answer); got != ex.job.responseBody() {
-			o.fail(CorrectResponse, "%s got the answer %q", ex.job.name, got)
+			o.fail(CorrectResponse, "%s got the wrong response %q", ex.job.name, got)
 		}
 		return
 	}
@@ -277,7 +277,7 @@
 func (o *oracle) operatorOutcome(change settings.Change, outcome settings.Outcome) {
 	first, known := o.outcomes[change.OperationID]
 	if known && (first.Kind != outcome.Kind || first.Version != outcome.Version) {
-		o.fail(SettingsDurable, "%s was told %s at %d, then %s at %d", change.OperationID, first.Kind, first.Version, outcome.Kind, outcome.Version)
+		o.fail(SettingsDurable, "%s got outcome %s at version %d, then %s at version %d", change.OperationID, first.Kind, first.Version, outcome.Kind, outcome.Version)
 	}
 	if known {
 		return
