--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -13,7 +13,7 @@
 	}
 	leader := o.w.leader()
 	if leader == nil {
-		o.fail(SettingsDurable, "no control replica leads %v after all faults have healed", settleTime)
+		o.fail(SettingsDurable, "no control replica leads %v after all faults were removed", settleTime)
 		return
 	}
 	o.checkMembers(leader)
@@ -29,7 +29,7 @@
 	membership := leader.replica.Node().Membership()
 	for _, n := range o.w.controls {
 		if _, member := membership.Find(n.identity.ID); !member {
-			o.fail(SettingsDurable, "%s (%s) is no member of the group any more", n.name, n.identity.ID)
+			o.fail(SettingsDurable, "%s (%s) is no longer a member of the group", n.name, n.identity.ID)
 			return
 		}
 	}
@@ -51,7 +51,7 @@
 		version, found := versionByOperation[id]
 		accepted := outcome.Kind == settings.OutcomeAccepted
 		if found != accepted || (found && version != outcome.Version) {
-			o.fail(SettingsDurable, "%s was told %s at version %d, the history has it at %d", id, outcome.Kind, outcome.Version, version)
+			o.fail(SettingsDurable, "%s got outcome %s at version %d, but the history has it at version %d", id, outcome.Kind, outcome.Version, version)
 			return
 		}
 	}
@@ -77,7 +77,7 @@
 	for _, e := range o.w.engines {
 		wanted := tree.Resolve(e.zone, modelService).WeightsVersion
 		if e.model.Weights != wanted {
-			o.fail(SettingsDurable, "%s holds weights %s, the tree wants %s", e.name, e.model.Weights, wanted)
+			o.fail(SettingsDurable, "%s has weights %s, the settings specify %s", e.name, e.model.Weights, wanted)
 			return
 		}
 	}
@@ -87,7 +87,7 @@
 func (o *oracle) checkResponses() {
 	for _, ex := range o.w.callers.exchanges {
 		if !ex.finished {
-			o.fail(CorrectResponse, "%s, sent to %s, was never answered", ex.job.name, ex.router.name)
+			o.fail(CorrectResponse, "%s, sent to %s, got no final response", ex.job.name, ex.router.name)
 			return
 		}
 	}
