--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -220,7 +220,7 @@
 			e.job.done = true
 			return
 		}
-		w.logf("%s at %s refused as %s, run=%s", e.job.name, e.router.name, action.Reason, action.Run)
+		w.logf("%s at %s rejected as %s, run=%s", e.job.name, e.router.name, action.Reason, action.Run)
 		w.callers.retry(e, max(action.RetryAfter, 50*time.Millisecond))
 	})
 }
