--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -126,7 +126,7 @@
 
 // healAll removes every fault and restarts all processes that are down.
 func (w *world) healAll() {
-	w.logf("all faults heal")
+	w.logf("all faults are removed")
 	w.network.partitioned = map[[2]string]int{}
 	w.network.degradedUntil = 0
 	w.onAccept, w.onPublished = nil, nil
