--- a/internal/lab/sim/services.go
+++ b/internal/lab/sim/services.go
@@ -26,7 +26,7 @@
 func (s *serviceNode) serve(ex *exchange, attempt core.AttemptID, answer func(core.EventAttempt)) {
 	faulty := s.w.now() < s.w.pending.servicesUntil
 	if faulty && s.w.chance(0.25) {
-		s.w.logf("%s reads %s and closes", s.name, ex.job.name)
+		s.w.logf("%s reads %s and closes the connection", s.name, ex.job.name)
 		answer(core.EventAttempt{Kind: core.AttemptBroken})
 		return
 	}
