--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -17,65 +17,65 @@
 
 // Row is the result of one policy over one seed.
 type Row struct {
-	Deployment           string  `json:"deployment"`
-	Policy               Policy  `json:"policy"`
-	Seed                 uint64  `json:"seed"`
-	PrefixHitRate        float64 `json:"prefix_hit_rate"` // prompt tokens reused or copied, of all prompt tokens
-	CopiedShare          float64 `json:"copied_token_share"`
-	TTFTP50              float64 `json:"ttft_p50_ms"`
-	TTFTP99              float64 `json:"ttft_p99_ms"`
-	InteractiveTTFTP99   float64 `json:"interactive_ttft_p99_ms"`
-	RecomputedTokenShare float64 `json:"recomputed_token_share"`          // prompt tokens computed though some engine had computed them before
-	RecomputedElsewhere  float64 `json:"recomputed_held_elsewhere_share"` // of them, those that another live engine held
-	RefusedShare         float64 `json:"refused_share"`
-	Completed            int     `json:"completed"`
-	Goodput              float64 `json:"goodput_per_s"`    // answers whose first token came within their deadline
-	CrashRecovery        float64 `json:"crash_recovery_s"` // until the hit rate was back at 90% of what it was; -1: not within the run
-	ShiftRecovery        float64 `json:"shift_recovery_s"`
-	Scale                float64 `json:"scale"` // of the deployment's request rate
-
-	hitSeries  []float64 // hit rate by second
+	Deployment                string  `json:"deployment"`
+	Policy                    Policy  `json:"policy"`
+	Seed                      uint64  `json:"seed"`
+	PrefixHitRate             float64 `json:"prefix_hit_rate"` // fraction of prompt tokens reused from a cache or imported
+	ImportedRatio             float64 `json:"copied_token_share"`
+	TTFTP50                   float64 `json:"ttft_p50_ms"`
+	TTFTP99                   float64 `json:"ttft_p99_ms"`
+	InteractiveTTFTP99        float64 `json:"interactive_ttft_p99_ms"`
+	RecomputedRatio           float64 `json:"recomputed_token_share"`          // fraction of prompt tokens computed again
+	RecomputedCachedElsewhere float64 `json:"recomputed_held_elsewhere_share"` // part of it that another live engine had cached
+	RejectedRatio             float64 `json:"refused_share"`
+	Completed                 int     `json:"completed"`
+	Goodput                   float64 `json:"goodput_per_s"`    // requests whose first token came within the deadline
+	CrashRecovery             float64 `json:"crash_recovery_s"` // until the hit rate is back at 90%; -1: not within the run
+	ShiftRecovery             float64 `json:"shift_recovery_s"`
+	Scale                     float64 `json:"scale"` // factor on the deployment's request rate
+
+	hitSeries  []float64 // hit rate of each second
 	firstToken *hdrhistogram.Histogram
-	byCause    [causeCount]float64 // recomputed tokens, by why
+	byCause    [causeCount]float64 // recomputed tokens
 }
 
-// cause is why tokens were computed again.
+// cause is why tokens were recomputed.
 type cause int
 
-// Causes, from what the engines held when the job began.
+// Causes, by the contents of the caches when the job started.
 const (
-	causeElsewhere cause = iota // another live engine held them
-	causeEvicted                // nobody held them any more
+	causeCachedElsewhere cause = iota // another live engine or the vault had them cached
+	causeEvicted                      // no cache had them any more
 	causeCount
 )
 
-// measure collects what a run shows. Requests sent before the warm-up ends are not counted.
+// measure collects the results of a run. Requests sent before the warm-up ends are not counted.
 type measure struct {
-	run            *run
-	prompt         int
-	hit            int
-	copied         int
-	recomputed     int
-	completed      int
-	refused        int
-	inTime         int
-	all            *hdrhistogram.Histogram
-	interactive    *hdrhistogram.Histogram
-	computedBlocks map[prefix.Hash]bool
-	hitBySecond    [][2]int // hit and prompt tokens
-	byCause        [causeCount]float64
+	run             *run
+	promptTokens    int
+	hitTokens       int
+	imported        int
+	recomputed      int
+	completed       int
+	rejected        int
+	inTime          int
+	ttft            *hdrhistogram.Histogram
+	interactiveTTFT *hdrhistogram.Histogram
+	computedBlocks  map[prefix.Hash]bool
+	hitBySecond     [][2]int // hit and prompt tokens
+	byCause         [causeCount]float64
 }
 
 func newMeasure(r *run) *measure {
 	return &measure{
 		run: r, computedBlocks: map[prefix.Hash]bool{},
-		all:         hdrhistogram.New(1, histogramHighest, histogramDigits),
-		interactive: hdrhistogram.New(1, histogramHighest, histogramDigits),
-		hitBySecond: make([][2]int, int(r.options.totalLength()/time.Second)+2),
+		ttft:            hdrhistogram.New(1, histogramHighest, histogramDigits),
+		interactiveTTFT: hdrhistogram.New(1, histogramHighest, histogramDigits),
+		hitBySecond:     make([][2]int, int(r.options.totalLength()/time.Second)+2),
 	}
 }
 
-// started counts reuse when an engine begins a job.
+// started records cached, imported and recomputed tokens when an engine starts a job.
 func (m *measure) started(now time.Duration, s *attempt, output engine.Output) {
 	recomputed, elsewhere := 0, 0
 	chain := output.Job.Blocks
@@ -100,11 +100,11 @@
 	if s.request.sentAt < warmUp {
 		return
 	}
-	m.prompt += output.Job.PromptTokens
-	m.hit += output.Cached
-	m.copied += output.Imported
+	m.promptTokens += output.Job.PromptTokens
+	m.hitTokens += output.Cached
+	m.imported += output.Imported
 	m.recomputed += recomputed
-	m.byCause[causeElsewhere] += float64(elsewhere)
+	m.byCause[causeCachedElsewhere] += float64(elsewhere)
 	m.byCause[causeEvicted] += float64(recomputed - elsewhere)
 }
 
@@ -113,10 +113,10 @@
 		return
 	}
 	ttft := now - request.sentAt
-	_ = m.all.RecordValue(ttft.Microseconds()) // the range covers the whole run
+	_ = m.ttft.RecordValue(ttft.Microseconds()) // the histogram's range covers the whole run
 	deadline := m.run.deployment.Traffic.LongDeadline
 	if request.prompt.Short {
-		_ = m.interactive.RecordValue(ttft.Microseconds())
+		_ = m.interactiveTTFT.RecordValue(ttft.Microseconds())
 		deadline = m.run.deployment.Traffic.InteractiveDeadline
 	}
 	if ttft <= deadline {
@@ -132,7 +132,7 @@
 		m.completed++
 		return
 	}
-	m.refused++
+	m.rejected++
 }
 
 func ratio(part, whole int) float64 {
@@ -146,18 +146,17 @@
 	return float64(h.ValueAtQuantile(quantile)) / 1000
 }
 
-// row returns the result.
 func (m *measure) row() Row {
 	row := Row{
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
-		PrefixHitRate: ratio(m.hit, m.prompt), CopiedShare: ratio(m.copied, m.prompt),
-		TTFTP50: milliseconds(m.all, 50), TTFTP99: milliseconds(m.all, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
-		RecomputedTokenShare: ratio(m.recomputed, m.prompt), RefusedShare: ratio(m.refused, m.refused+m.completed),
+		PrefixHitRate: ratio(m.hitTokens, m.promptTokens), ImportedRatio: ratio(m.imported, m.promptTokens),
+		TTFTP50: milliseconds(m.ttft, 50), TTFTP99: milliseconds(m.ttft, 99), InteractiveTTFTP99: milliseconds(m.interactiveTTFT, 99),
+		RecomputedRatio: ratio(m.recomputed, m.promptTokens), RejectedRatio: ratio(m.rejected, m.rejected+m.completed),
 		Completed: m.completed, Goodput: float64(m.inTime) / (m.run.options.Length - warmUp).Seconds(),
-		firstToken: m.all, byCause: m.byCause, Scale: m.run.options.Scale,
+		firstToken: m.ttft, byCause: m.byCause, Scale: m.run.options.Scale,
 	}
-	if m.prompt > 0 {
-		row.RecomputedElsewhere = m.byCause[causeElsewhere] / float64(m.prompt)
+	if m.promptTokens > 0 {
+		row.RecomputedCachedElsewhere = m.byCause[causeCachedElsewhere] / float64(m.promptTokens)
 	}
 	for _, second := range m.hitBySecond {
 		row.hitSeries = append(row.hitSeries, ratio(second[0], second[1]))
@@ -168,12 +167,12 @@
 }
 
 const (
-	recoveryWindow    = 8   // seconds before an event from which the former level is taken
-	recoverySmoothing = 3   // seconds over which the level is smoothed
-	recoveredShare    = 0.9 // of the former level
+	recoveryWindow    = 8   // seconds before an event over which the baseline is taken
+	recoverySmoothing = 3   // seconds over which the hit rate is averaged
+	recoveredRatio    = 0.9 // of the baseline
 )
 
-// recovery returns the seconds from an event until the hit rate is back.
+// recovery returns the seconds from an event until the hit rate has recovered, or -1.
 func (m *measure) recovery(at time.Duration) float64 {
 	second := int(at / time.Second)
 	baseline := m.hitRate(second-recoveryWindow, second)
@@ -181,7 +180,7 @@
 	dropped := false
 	for end := second + 1; end <= last; end++ {
 		level := m.hitRate(max(second, end-recoverySmoothing), end)
-		if level < recoveredShare*baseline {
+		if level < recoveredRatio*baseline {
 			dropped = true
 			continue
 		}
@@ -192,7 +191,7 @@
 	return -1
 }
 
-// hitRate is the hit rate over seconds from first to before last.
+// hitRate returns the hit rate over the seconds from first up to, but not including, last.
 func (m *measure) hitRate(first, last int) float64 {
 	hit, prompt := 0, 0
 	for second := max(0, first); second < min(last, len(m.hitBySecond)); second++ {
--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -8,18 +8,18 @@
 
 const vaultName = "vault"
 
-// vault is the store of kept KV cache: the least recently used blocks give way.
+// vault is a shared store of KV cache blocks with LRU eviction.
 type vault struct {
-	limit   int
-	order   *list.List
-	entries map[prefix.Hash]*list.Element
+	maxBlocks int
+	order     *list.List
+	entries   map[prefix.Hash]*list.Element
 }
 
 func newVault(maxBlocks int) *vault {
-	return &vault{limit: maxBlocks, order: list.New(), entries: map[prefix.Hash]*list.Element{}}
+	return &vault{maxBlocks: maxBlocks, order: list.New(), entries: map[prefix.Hash]*list.Element{}}
 }
 
-// cachedPrefix returns how many leading blocks of a chain are kept.
+// cachedPrefix returns how many leading blocks of a chain are stored, and marks them as used.
 func (v *vault) cachedPrefix(chain []prefix.Hash) int {
 	for i, hash := range chain {
 		entry := v.entries[hash]
@@ -39,13 +39,13 @@
 		}
 		v.entries[hash] = v.order.PushBack(hash)
 	}
-	for len(v.entries) > v.limit {
+	for len(v.entries) > v.maxBlocks {
 		oldest := v.order.Front()
 		delete(v.entries, v.order.Remove(oldest).(prefix.Hash))
 	}
 }
 
-// storeInVault stores what the router asked to storeInVault when a job was done.
+// storeInVault stores the blocks that the router selected when it dispatched the request.
 func (r *run) storeInVault(s *attempt) {
 	blocks := s.request.vaultBlocks
 	if len(blocks) == 0 {
