--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -6,14 +6,14 @@
 	"kitetiller/internal/settings"
 )
 
-// checkSettled checks, after all faults have healed, that everything came to rest where it must.
+// checkSettled checks that the system has converged to the required state after all faults were removed.
 func (o *oracle) checkSettled() {
 	if o.violation != nil {
 		return
 	}
 	leader := o.w.leader()
 	if leader == nil {
-		o.fail(SettingsDurable, "no control replica leads %v after all faults have healed", settleTime)
+		o.fail(SettingsDurable, "no control replica leads %v after all faults were removed", settleTime)
 		return
 	}
 	o.checkMembers(leader)
@@ -23,19 +23,19 @@
 	o.checkResponses()
 }
 
-// checkMembers checks that every replica belongs to the group again: one that was replaced while it was away must come back
-// as a spare, or the group runs out of them.
+// checkMembers checks that every replica is a member of the group. One that was replaced while it was down must
+// rejoin as a spare.
 func (o *oracle) checkMembers(leader *controlNode) {
 	membership := leader.replica.Node().Membership()
 	for _, n := range o.w.controls {
 		if _, member := membership.Find(n.identity.ID); !member {
-			o.fail(SettingsDurable, "%s (%s) is no member of the group any more", n.name, n.identity.ID)
+			o.fail(SettingsDurable, "%s (%s) is no longer a member of the group", n.name, n.identity.ID)
 			return
 		}
 	}
 }
 
-// checkHistory compares the final history with what operators were told.
+// checkHistory checks that the final history matches the outcomes that operators received.
 func (o *oracle) checkHistory(leader *controlNode) {
 	final := leader.replica.Machine().Settings()
 	if final.Version() < o.acknowledged {
@@ -51,13 +51,13 @@
 		version, found := versionByOperation[id]
 		accepted := outcome.Kind == settings.OutcomeAccepted
 		if found != accepted || (found && version != outcome.Version) {
-			o.fail(SettingsDurable, "%s was told %s at version %d, the history has it at %d", id, outcome.Kind, outcome.Version, version)
+			o.fail(SettingsDurable, "%s got outcome %s at version %d, but the history has it at version %d", id, outcome.Kind, outcome.Version, version)
 			return
 		}
 	}
 }
 
-// checkRouters checks that the newest version is in use everywhere.
+// checkRouters checks that every router has a valid lease and uses the newest settings, which are in force.
 func (o *oracle) checkRouters(leader *controlNode) {
 	newest := leader.replica.Machine().Settings().Version()
 	for _, r := range o.w.routers {
@@ -71,23 +71,23 @@
 	}
 }
 
-// checkEngines checks that every engine holds the weights that the tree wants.
+// checkEngines checks that every engine has loaded the weights that the settings specify.
 func (o *oracle) checkEngines(leader *controlNode) {
 	tree := leader.replica.Machine().Settings().Tree()
 	for _, e := range o.w.engines {
 		wanted := tree.Resolve(e.zone, modelService).WeightsVersion
 		if e.model.Weights != wanted {
-			o.fail(SettingsDurable, "%s holds weights %s, the tree wants %s", e.name, e.model.Weights, wanted)
+			o.fail(SettingsDurable, "%s has weights %s, the settings specify %s", e.name, e.model.Weights, wanted)
 			return
 		}
 	}
 }
 
-// checkResponses checks that no caller still waits.
+// checkResponses checks that every exchange has finished.
 func (o *oracle) checkResponses() {
 	for _, ex := range o.w.callers.exchanges {
 		if !ex.finished {
-			o.fail(CorrectResponse, "%s, sent to %s, was never answered", ex.job.name, ex.router.name)
+			o.fail(CorrectResponse, "%s, sent to %s, got no final response", ex.job.name, ex.router.name)
 			return
 		}
 	}
