--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -212,11 +212,11 @@
 // measureClaims measures the throughput and latency of run ledger claims, and how many share one disk sync.
 func measureClaims(g *group, report *Report, clients int, length time.Duration) error {
 	heartbeat := control.Heartbeat{Router: "claimer", Incarnation: 1, Zone: "z"}
-	opened, err := g.request(requestTimeout, control.Request{Heartbeat: &heartbeat})
+	reply, err := g.request(requestTimeout, control.Request{Heartbeat: &heartbeat})
 	if err != nil {
 		return err
 	}
-	holder := ledger.Holder{Router: "claimer", Epoch: opened.Heartbeat.Epoch}
+	holder := ledger.Holder{Router: "claimer", Epoch: reply.Heartbeat.Epoch}
 	var granted int
 	var mutex sync.Mutex
 	var workers sync.WaitGroup
