--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -161,14 +161,14 @@
 }
 
 // measureNodes measures processor time and traffic of control by the number of routers.
-func measureNodes(g *group, report *Report, sizes []int, length time.Duration) (*emulatedRouters, error) {
+func measureNodes(g *group, report *Report, sizes []int, duration time.Duration) (*emulatedRouters, error) {
 	routers := newEmulatedRouters(g)
 	var cores, traffic []Point
 	for _, size := range sizes {
 		routers.addUntil(size)
 		time.Sleep(routerHeartbeatInterval)
 		before := routers.counter.total()
-		usage, err := measure(length, func() {})
+		usage, err := measure(duration, func() {})
 		if err != nil {
 			return nil, err
 		}
