--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -210,7 +210,7 @@
 }
 
 // measureClaims measures the throughput and latency of run ledger claims, and how many share one disk sync.
-func measureClaims(g *group, report *Report, clients int, length time.Duration) error {
+func measureClaims(g *group, report *Report, clients int, duration time.Duration) error {
 	heartbeat := control.Heartbeat{Router: "claimer", Incarnation: 1, Zone: "z"}
 	reply, err := g.request(requestTimeout, control.Request{Heartbeat: &heartbeat})
 	if err != nil {
@@ -221,7 +221,7 @@
 	var mutex sync.Mutex
 	var workers sync.WaitGroup
 	syncs, synced := g.syncTotals()
-	deadline := time.Now().Add(length)
+	deadline := time.Now().Add(duration)
 	var totalTime time.Duration
 	for worker := range clients {
 		workers.Go(func() {
@@ -243,7 +243,7 @@
 	}
 	workers.Wait()
 	after, afterTime := g.syncTotals()
-	report.addFigure(roleControl, fmt.Sprintf("ledger claims a second, three replicas, %d clients", clients), "1/s", float64(granted)/length.Seconds())
+	report.addFigure(roleControl, fmt.Sprintf("ledger claims a second, three replicas, %d clients", clients), "1/s", float64(granted)/duration.Seconds())
 	report.addFigure(roleControl, "mean time of a claim", "ms", totalTime.Seconds()*1000/float64(max(1, granted)))
 	report.addFigure(roleControl, "mean time of one write and sync", "ms", (afterTime-synced).Seconds()*1000/float64(max(1, after-syncs)))
 	report.addFigure(roleControl, "claims that share one write and sync", "claims", float64(granted)*replicas/float64(max(1, after-syncs)))
