--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -108,8 +108,8 @@
 	return true
 }
 
-// recordHeartbeat updates the in-memory state of a back end. Heartbeats may be reordered; an older one only counts as a
-// sign of life.
+// recordHeartbeat updates the in-memory state of a back end. Heartbeats may be reordered; an older one only shows
+// that the back end is alive.
 func (r *Replica) recordHeartbeat(now time.Duration, heartbeat BackendHeartbeat) {
 	state := r.ensureBackend(now, heartbeat.Instance.ID)
 	state.heardAt = now
@@ -138,7 +138,7 @@
 	for model, version := range versions {
 		if state.versions[model] < version {
 			state.versions[model], state.versionsRoseAt = version, now
-			r.leader.unlogged[state.id] = true
+			r.leader.unloggedWeights[state.id] = true
 			changed = true
 		}
 	}
@@ -174,15 +174,15 @@
 // logLoadedWeights logs changes of the weights versions that back ends hold, so that the next leader knows them from
 // the start.
 func (r *Replica) logLoadedWeights(now time.Duration) {
-	if now < r.leader.heldLoggedAt+loadedLogInterval {
+	if now < r.leader.loadedLoggedAt+loadedLogInterval {
 		return
 	}
-	r.leader.heldLoggedAt = now
+	r.leader.loadedLoggedAt = now
 	var loaded []catalog.LoadedWeights
-	for _, id := range sortedKeys(r.leader.unlogged) {
+	for _, id := range sortedKeys(r.leader.unloggedWeights) {
 		unlogged := r.unloggedWeights(id)
 		if _, known := r.machine.catalog.Instances()[id]; len(unlogged) == 0 && known {
-			delete(r.leader.unlogged, id)
+			delete(r.leader.unloggedWeights, id)
 		}
 		loaded = append(loaded, unlogged...)
 	}
@@ -244,7 +244,7 @@
 	for id, state := range r.leader.fleet {
 		if _, known := instances[id]; !known && now-state.heardAt > silenceTimeout {
 			delete(r.leader.fleet, id)
-			delete(r.leader.unlogged, id)
+			delete(r.leader.unloggedWeights, id)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 	if len(command.MaxHashWeights) > 0 {
 		r.markInUseChanges(now, oldBounds)
 	}
-	rosterUnaffected := len(command.Loaded)+len(command.WeightsCommandTargets) > 0 || gatewaysChanged || command.Quarantine != nil
+	rosterUnaffected := len(command.Loaded)+len(command.WeightsOrderTargets) > 0 || gatewaysChanged || command.Quarantine != nil
 	if !rosterUnaffected {
 		r.leader.markRosterChanged(changed...)
 	}
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -12,7 +12,7 @@
 func openWithEngines(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openSingleReplica(t, t.TempDir())
-	s.changeConfig(func(config *Config) { config.OrderWait = time.Second })
+	s.changeConfig(func(config *Config) { config.WeightsOrderDelay = time.Second })
 	s.advance(2 * time.Second) // until views confirmed by an earlier leader have expired
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
 	s.sendHeartbeats("i-1", "i-2")
@@ -24,7 +24,7 @@
 // sendHeartbeats sends a heartbeat for each engine.
 func (s *singleReplica) sendHeartbeats(ids ...string) {
 	for _, id := range ids {
-		s.ask(Request{Beat: &BackendHeartbeat{
+		s.ask(Request{BackendHeartbeat: &BackendHeartbeat{
 			Instance: catalog.Instance{ID: id, Service: "engine", Address: id, State: catalog.StateReady},
 			Sequence: uint64(s.now), Versions: map[string]uint64{"m": 1},
 		}})
@@ -57,7 +57,7 @@
 // end whose weights change.
 func TestOrderWaitsUntilGatewaysStopSending(t *testing.T) {
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.weightsOrders(200 * time.Millisecond) // answers the weights queries
@@ -76,7 +76,7 @@
 // TestOrderDoesNotWaitForSilentGateways: a gateway that is gone delays orders only until its view has expired.
 func TestOrderDoesNotWaitForSilentGateways(t *testing.T) {
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	s.watchNow("g1", RosterVersion{})
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.weightsOrders(200 * time.Millisecond)
@@ -93,7 +93,7 @@
 // undoes it nor registers the back end again after it has left.
 func TestDrainIsAnsweredOnceCommitted(t *testing.T) {
 	s := openWithEngines(t)
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
+	s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
 	if state := s.replica.Machine().Catalog().Instances()["i-1"].State; state != catalog.StateDraining {
 		t.Fatalf("state %q, want draining", state)
 	}
@@ -101,7 +101,7 @@
 	if state := s.replica.Machine().Catalog().Instances()["i-1"].State; state != catalog.StateDraining {
 		t.Fatalf("state %q after a delayed heartbeat, want draining", state)
 	}
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1"}, Leaving: true}})
+	s.ask(Request{BackendHeartbeat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1"}, Leaving: true}})
 	s.sendHeartbeats("i-1")
 	if _, known := s.replica.Machine().Catalog().Instances()["i-1"]; known {
 		t.Fatal("a delayed heartbeat registered a back end that had left")
@@ -134,7 +134,7 @@
 	var last uint64
 	for restart := range 3 {
 		s := openSingleReplica(t, dir)
-		s.changeConfig(func(config *Config) { config.OrderWait = time.Second })
+		s.changeConfig(func(config *Config) { config.WeightsOrderDelay = time.Second })
 		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: uint64(restart + 2)}}})
 		s.advance(time.Second)
 		if s.replica.leader.orderFence <= last {
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -14,7 +14,7 @@
 func replaceLeaderAfterOrder(t *testing.T) (next *singleReplica, ordered, unordered string) {
 	t.Helper()
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.advance(gatewayListInterval + 100*time.Millisecond)
 	s.watchNow("g1", version)
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	next = reopenUnelected(t, s.folder)
-	next.changeConfig(func(config *Config) { config.OrderWait, config.GatewayTrust = 5*time.Second, 3*time.Second })
+	next.changeConfig(func(config *Config) { config.WeightsOrderDelay, config.GatewayViewTTL = 5*time.Second, 3*time.Second })
 	next.advance(400 * time.Millisecond)
 	return next, ordered, unordered
 }
@@ -59,9 +59,9 @@
 	return instances
 }
 
-// TestNewLeaderWaitsOnlyForWhatWasOrdered checks that a new leader waits before it orders an engine that the previous
-// leader ordered, and orders others as soon as the gateways follow it.
-func TestNewLeaderWaitsOnlyForWhatWasOrdered(t *testing.T) {
+// TestNewLeaderDelaysOnlyEnginesAlreadyOrdered checks that a new leader waits before it orders an engine that the
+// previous leader ordered, and orders others as soon as the gateways follow it.
+func TestNewLeaderDelaysOnlyEnginesAlreadyOrdered(t *testing.T) {
 	s, ordered, unordered := replaceLeaderAfterOrder(t)
 	if early := s.ordersDuring("g1", 2*time.Second); !slices.Contains(early, unordered) || slices.Contains(early, ordered) {
 		t.Fatalf("ordered %v early; the previous leader ordered %s, and not %s", early, ordered, unordered)
@@ -112,10 +112,10 @@
 	s.now += time.Hour
 	meta := consensus.SnapshotMeta{Index: s.replica.applied, Term: s.replica.appliedTerm}
 	s.replica.installSnapshot(s.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
-	if s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.OrderWait-time.Millisecond, ordered) {
+	if s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.WeightsOrderDelay-time.Millisecond, ordered) {
 		t.Fatalf("%s may be ordered before the pause is over", ordered)
 	}
-	if !s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.OrderWait, ordered) {
+	if !s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.WeightsOrderDelay, ordered) {
 		t.Fatalf("%s may not be ordered after the pause", ordered)
 	}
 }
@@ -124,7 +124,7 @@
 // leader would not wait for it, and the gateway would send to a back end that loads weights.
 func TestWatchConfirmedOnlyAfterGatewayIsLogged(t *testing.T) {
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	confirmed := func(client uint64) bool { return s.replies[client].Watch != nil }
 	holds := func(name string) bool { return slices.Contains(s.replica.machine.catalog.Gateways(), name) }
 	watch := func(client uint64, name string) {
@@ -155,7 +155,7 @@
 // no longer added to the log.
 func TestClosingGatewayIsStillAnswered(t *testing.T) {
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
 	for range 5 {
 		s.watchNow("g2", held)
@@ -170,7 +170,7 @@
 // were sent seconds later without a new announcement, the next leader's order could follow it too soon.
 func TestDelayedOrderIsAnnouncedAgain(t *testing.T) {
 	s := openWithEngines(t)
-	s.changeConfig(func(config *Config) { config.GatewayTrust = time.Minute })
+	s.changeConfig(func(config *Config) { config.GatewayViewTTL = time.Minute })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	watchAndBeat := func(held RosterVersion, duration time.Duration) (orders []WeightsCall, at time.Duration) {
@@ -192,8 +192,8 @@
 	mark := s.replica.orderMarks[id]
 	mark.term-- // as seen by the next leader, which applied the same entries at the same times
 	s.replica.orderMarks[id] = mark
-	if early := orderedAt + s.replica.config.OrderWait - time.Millisecond; s.replica.handoverPauseOver(early, id) {
-		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v; the pause is %v", id, orderedAt, mark.appliedAt, early, s.replica.config.OrderWait)
+	if early := orderedAt + s.replica.config.WeightsOrderDelay - time.Millisecond; s.replica.handoverPauseOver(early, id) {
+		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v; the pause is %v", id, orderedAt, mark.appliedAt, early, s.replica.config.WeightsOrderDelay)
 	}
 }
 
@@ -233,7 +233,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := openWithEngines(t)
-			s.changeConfig(func(config *Config) { config.OrderWait = time.Hour })
+			s.changeConfig(func(config *Config) { config.WeightsOrderDelay = time.Hour })
 			s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
 			s.replica.queueOrderAnnouncement(incarnationID("e", 1000))
 			s.advance(100 * time.Millisecond)
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestNewLeaderRestoresHeldWeightsFromLog guards against a new leader that does not know which weights back ends
+// TestNewLeaderRestoresLoadedWeightsFromLog guards against a new leader that does not know which weights back ends
 // hold until their first heartbeats, so that prefix caches go unused.
-func TestNewLeaderRestoresHeldWeightsFromLog(t *testing.T) {
+func TestNewLeaderRestoresLoadedWeightsFromLog(t *testing.T) {
 	s := openWithEngines(t)
 	s.advance(time.Second)
 	if err := s.disk.Close(); err != nil {
@@ -124,8 +124,9 @@
 	}
 }
 
-// TestHeldWeightsRequireRegistration guards against weights recorded for instances that are not or no longer registered.
-func TestHeldWeightsRequireRegistration(t *testing.T) {
+// TestLoadedWeightsRequireRegistration guards against weights recorded for instances that are not or no longer
+// registered.
+func TestLoadedWeightsRequireRegistration(t *testing.T) {
 	machine := catalog.NewMachine()
 	held := catalog.Command{Loaded: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 3}}}}
 	machine.Apply(held)
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -50,7 +50,7 @@
 	nextStepAt      time.Duration // when the next step is due or the current phase times out
 	model           string
 	version         uint64        // to be loaded by the current update
-	announcedRoster uint64        // roster version that tells gateways to send no new requests
+	announcedRoster uint64        // first roster version in which gateways send it no new requests
 	drainUntil      time.Duration // when the order is sent even if requests still run
 	orderedAt       time.Duration
 	acceptedAt      time.Duration // when the order was accepted; 0 if unknown
@@ -166,8 +166,8 @@
 // outdatedModel returns a model of which a ready back end holds an old version, and the version it should load.
 func (r *Replica) outdatedModel(instance catalog.Instance, state *backendState) (string, uint64, bool) {
 	for model, loaded := range state.versions {
-		if wanted := r.machine.catalog.LatestVersions()[model]; wanted > loaded && instance.State == catalog.StateReady {
-			return model, wanted, true
+		if latest := r.machine.catalog.LatestVersions()[model]; latest > loaded && instance.State == catalog.StateReady {
+			return model, latest, true
 		}
 	}
 	return "", 0, false
@@ -324,7 +324,7 @@
 
 func (r *Replica) finishRollout(now time.Duration, state *backendState) {
 	state.versions[state.rollout.model] = max(state.versions[state.rollout.model], state.rollout.version)
-	r.leader.unlogged[state.id] = true
+	r.leader.unloggedWeights[state.id] = true
 	r.leader.markRosterChanged(state.id)
 	r.setPhase(state, phaseIdle, now)
 }
--- a/internal/lab/account/account.go
+++ b/internal/lab/account/account.go
@@ -1,5 +1,5 @@
-// Package account tells what a day of service lost, by cause, by moment and by mechanism: from a report that was made
-// outside, from the product's own log lines, or from both.
+// Package account breaks down what a simulated day of traffic lost by cause, time and mechanism. Its input is the
+// report of an external evaluator, the processes' log lines, or both.
 package account
 
 import (
@@ -10,33 +10,35 @@
 	"time"
 )
 
-// Day is what one played or lived day lost.
+// Day holds the losses of one day of traffic.
 type Day struct {
 	Name   string
-	Worth  float64 // what was earned of what was owed, less prices; of the reports only
+	Worth  float64 // fraction of the attainable worth that was earned, minus penalties; 0 without a report
 	Losses []Loss
-	Lines
-	// ReadAgain is how many tokens of shared parts were read again, by the report; 0 without one.
-	ReadAgain float64
+	LogSummary
+	// RecomputedTokens is the reported number of shared prompt tokens that were prefilled again; 0 without a report.
+	RecomputedTokens float64
 }
 
-// Read tells of shared parts that a request's engine was expected to read, by the line of its answer.
-type Read struct {
-	At     time.Duration // as Event tells it
+// Recompute is the shared prompt tokens that an engine was expected to prefill for a request, as the log line of its
+// response states it.
+type Recompute struct {
+	At     time.Duration // relative to the same start as Event.At
 	Route  string
 	Cause  string
 	Tokens int
 }
 
-// First is the cause of parts that nobody had read before: not again.
-const First = "first"
+// CauseFirstUse marks shared parts that were prefilled for the first time; they don't count as recomputed.
+const CauseFirstUse = "first"
 
-// ReadsBy returns the tokens a day of shared parts that were expected to be read again, by what a key makes of each.
-func ReadsBy(days []Day, key func(Read) string) []Row {
+// RecomputedTokensBy returns the mean number of shared prompt tokens per day that were expected to be recomputed,
+// grouped by key.
+func RecomputedTokensBy(days []Day, key func(Recompute) string) []Row {
 	sums := map[string]float64{}
 	for _, d := range days {
-		for _, r := range d.Reads {
-			if r.Cause != First {
+		for _, r := range d.Recomputes {
+			if r.Cause != CauseFirstUse {
 				sums[key(r)] += float64(r.Tokens) / float64(len(days))
 			}
 		}
@@ -44,58 +46,58 @@
 	return rows(sums, nil)
 }
 
-// Loss is worth that was lost to a cause, as a part of what was owed.
+// Loss is the worth lost to one cause, as a fraction of the attainable worth.
 type Loss struct {
 	Cause string
 	Worth float64
 }
 
-// Event is a request that was not served, or served late, or an attempt that failed, as a log line tells it.
+// Event is a log line of a request that was rejected, failed or late, or of an attempt that failed.
 type Event struct {
-	At        time.Duration // since the day's first line, or as the line says
+	At        time.Duration // since the first log line, or the time that precedes the line
 	Outcome   Outcome
-	Mechanism string // reason or cause, without names of this one request
-	Line      string // as it stands in the log
+	Mechanism string // reason or cause, without addresses and instance names
+	Line      string // unmodified log line
 }
 
-// Outcome tells what became of a request.
+// Outcome is the result of a request or an attempt.
 type Outcome string
 
 // Outcomes of requests and attempts.
 const (
-	Refused  Outcome = "refused"        // the gateway answered itself
-	Failed   Outcome = "failed"         // the back end's answer was a failure
-	Late     Outcome = "late"           // served, not within the objective
-	Repeated Outcome = "attempt failed" // an attempt; the request may have been served by another one
+	Rejected      Outcome = "refused"        // by the gateway
+	Failed        Outcome = "failed"         // the back end returned a server error
+	Late          Outcome = "late"           // served after its deadline
+	AttemptFailed Outcome = "attempt failed" // the request itself may have been served by another attempt
 )
 
-// Row is a line of a table.
+// Row is one row of a table.
 type Row struct {
 	Name  string
 	Value float64
-	Share float64 // of the sum of all rows
-	Line  string  // an example, or ""
+	Share float64 // fraction of the sum of all rows
+	Line  string  // example log line, or ""
 }
 
-// rows returns sums by name as rows, the greatest first.
+// rows converts sums by name to rows, in descending order of value.
 func rows(sums map[string]float64, examples map[string]string) []Row {
 	total := 0.0
 	for _, value := range sums {
 		total += value
 	}
-	var made []Row
+	var result []Row
 	for _, name := range slices.Sorted(maps.Keys(sums)) {
 		row := Row{Name: name, Value: sums[name], Line: examples[name]}
 		if total > 0 {
 			row.Share = row.Value / total
 		}
-		made = append(made, row)
+		result = append(result, row)
 	}
-	slices.SortStableFunc(made, func(a, b Row) int { return cmp.Compare(b.Value, a.Value) })
-	return made
+	slices.SortStableFunc(result, func(a, b Row) int { return cmp.Compare(b.Value, a.Value) })
+	return result
 }
 
-// ByCause returns the worth lost to each cause, the mean of the days.
+// ByCause returns the mean worth per day lost to each cause.
 func ByCause(days []Day) []Row {
 	sums := map[string]float64{}
 	for _, d := range days {
@@ -106,7 +108,8 @@
 	return rows(sums, nil)
 }
 
-// ByMechanism returns how many requests a day met each outcome by each mechanism, with the first line that shows it.
+// ByMechanism returns the mean number of events per day for each outcome and mechanism, with the first log line as an
+// example.
 func ByMechanism(days []Day) []Row {
 	sums, examples := map[string]float64{}, map[string]string{}
 	for _, d := range days {
@@ -121,46 +124,46 @@
 	return rows(sums, examples)
 }
 
-// Moment is a span of a day with the requests that were lost in it.
-type Moment struct {
-	From   time.Duration
-	Counts map[Outcome]float64 // a day
+// Interval counts the events of one stretch of the day.
+type Interval struct {
+	Start  time.Duration
+	Counts map[Outcome]float64 // mean per day
 }
 
-// ByMoment returns the spans of a length, rising, without those where nothing was lost.
-func ByMoment(days []Day, span time.Duration) []Moment {
-	found := map[time.Duration]map[Outcome]float64{}
+// ByInterval divides the day into intervals of the given length and returns those with events, in order of time.
+func ByInterval(days []Day, length time.Duration) []Interval {
+	byStart := map[time.Duration]map[Outcome]float64{}
 	for _, d := range days {
 		for _, e := range d.Events {
-			from := e.At.Truncate(span)
-			if found[from] == nil {
-				found[from] = map[Outcome]float64{}
+			start := e.At.Truncate(length)
+			if byStart[start] == nil {
+				byStart[start] = map[Outcome]float64{}
 			}
-			found[from][e.Outcome] += 1 / float64(len(days))
+			byStart[start][e.Outcome] += 1 / float64(len(days))
 		}
 	}
-	var moments []Moment
-	for _, from := range slices.Sorted(maps.Keys(found)) {
-		moments = append(moments, Moment{From: from, Counts: found[from]})
+	var intervals []Interval
+	for _, start := range slices.Sorted(maps.Keys(byStart)) {
+		intervals = append(intervals, Interval{Start: start, Counts: byStart[start]})
 	}
-	return moments
+	return intervals
 }
 
-// Pair is a day that was played twice, by two states of the code.
-type Pair struct {
+// DayComparison is the worth of the same day under two versions of the code.
+type DayComparison struct {
 	Name          string
-	Before, After float64 // worth
+	Before, After float64
 }
 
-// Pairs returns the days of the same name in two sets.
-func Pairs(before, after []Day) []Pair {
-	var pairs []Pair
+// CompareDays pairs the days that both sets contain, by name.
+func CompareDays(before, after []Day) []DayComparison {
+	var comparisons []DayComparison
 	for _, b := range before {
-		at := slices.IndexFunc(after, func(a Day) bool { return a.Name == b.Name })
-		if at >= 0 {
-			pairs = append(pairs, Pair{Name: b.Name, Before: b.Worth, After: after[at].Worth})
+		i := slices.IndexFunc(after, func(a Day) bool { return a.Name == b.Name })
+		if i >= 0 {
+			comparisons = append(comparisons, DayComparison{Name: b.Name, Before: b.Worth, After: after[i].Worth})
 		}
 	}
-	slices.SortFunc(pairs, func(a, b Pair) int { return strings.Compare(a.Name, b.Name) })
-	return pairs
+	slices.SortFunc(comparisons, func(a, b DayComparison) int { return strings.Compare(a.Name, b.Name) })
+	return comparisons
 }
--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -14,71 +14,71 @@
 	"kitetiller/internal/events"
 )
 
-// maximumLine bounds one line of a log; a longer one ends the reading with an error.
-const maximumLine = 1 << 20
+// maxLineBytes limits the length of a log line; a longer one is an error.
+const maxLineBytes = 1 << 20
 
-// logLine is what of a log line is looked at.
+// logLine holds the fields of a log line that are evaluated.
 type logLine struct {
-	Time    time.Time `json:"time"`
-	Msg     string    `json:"msg"`
-	Reason  string    `json:"reason"`
-	Cause   string    `json:"cause"`
-	Result  string    `json:"result"`
-	Status  int       `json:"status"`
-	Late    bool      `json:"late"`
-	Request string    `json:"request"`
-	Route   string    `json:"route"`
-	Reread  int       `json:"reread"`
-	Why     string    `json:"reread_why"`
+	Time             time.Time `json:"time"`
+	Msg              string    `json:"msg"`
+	Reason           string    `json:"reason"`
+	Cause            string    `json:"cause"`
+	Result           string    `json:"result"`
+	Status           int       `json:"status"`
+	Late             bool      `json:"late"`
+	Request          string    `json:"request"`
+	Route            string    `json:"route"`
+	RecomputedTokens int       `json:"reread"`
+	RecomputeCause   string    `json:"reread_why"`
 }
 
-// names are parts of a cause that differ from request to request: addresses and instances.
-var names = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+|\bi-[0-9a-f]+\b`)
+// perRequestNames matches addresses and instance names, which would keep equal causes from being grouped.
+var perRequestNames = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+|\bi-[0-9a-f]+\b`)
 
-// Lines is what the lines of a log tell.
-type Lines struct {
-	Events []Event
-	Reads  []Read
-	Broken int // objects that can't be read: cut short, or of something else
+// LogSummary is what was extracted from a log.
+type LogSummary struct {
+	Events         []Event
+	Recomputes     []Recompute
+	MalformedLines int // lines with a "{" that aren't valid JSON objects
 }
 
-// ReadLines reads a day's log. Each line is an object as the processes write it, behind a time in seconds and
-// a process's name where the log was gathered from several. Other lines are passed over.
-func ReadLines(from io.Reader) (found Lines, err error) {
-	scanner := bufio.NewScanner(from)
-	scanner.Buffer(make([]byte, 0, 64<<10), maximumLine)
+// ReadLines reads a day's log. Each line is a JSON object as the processes write it. In a log collected from several
+// processes, the time in seconds and the process name precede the object. Lines without an object are skipped.
+func ReadLines(r io.Reader) (summary LogSummary, err error) {
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var first time.Time
 	for scanner.Scan() {
-		before, object, has := strings.Cut(scanner.Text(), "{")
-		if !has {
+		prefix, object, found := strings.Cut(scanner.Text(), "{")
+		if !found {
 			continue
 		}
 		var line logLine
 		if json.Unmarshal([]byte("{"+object), &line) != nil {
-			found.Broken++
+			summary.MalformedLines++
 			continue
 		}
 		if first.IsZero() {
 			first = line.Time
 		}
 		at := line.Time.Sub(first)
-		if seconds, told := leadingSeconds(before); told {
+		if seconds, ok := leadingSeconds(prefix); ok {
 			at = seconds
 		}
-		if line.Reread > 0 && line.Msg == events.RequestAnswered {
-			found.Reads = append(found.Reads, Read{At: at, Route: line.Route, Cause: line.Why, Tokens: line.Reread})
+		if line.RecomputedTokens > 0 && line.Msg == events.RequestAnswered {
+			summary.Recomputes = append(summary.Recomputes, Recompute{At: at, Route: line.Route, Cause: line.RecomputeCause, Tokens: line.RecomputedTokens})
 		}
-		if event, counts := line.event(); counts {
+		if event, lost := line.event(); lost {
 			event.At, event.Line = at, scanner.Text()
-			found.Events = append(found.Events, event)
+			summary.Events = append(summary.Events, event)
 		}
 	}
-	return found, eris.Wrap(scanner.Err(), "read log")
+	return summary, eris.Wrap(scanner.Err(), "read log")
 }
 
-// leadingSeconds reads the time in front of a gathered line.
-func leadingSeconds(before string) (time.Duration, bool) {
-	fields := strings.Fields(before)
+// leadingSeconds parses the time that precedes the JSON object in a collected log.
+func leadingSeconds(prefix string) (time.Duration, bool) {
+	fields := strings.Fields(prefix)
 	if len(fields) == 0 {
 		return 0, false
 	}
@@ -86,17 +86,17 @@
 	return time.Duration(seconds * float64(time.Second)), err == nil
 }
 
-// event returns what a line tells of a request that lost something.
+// event returns the loss that the line records, if any.
 func (l *logLine) event() (Event, bool) {
 	switch {
 	case l.Msg == events.RequestRejected:
-		return Event{Outcome: Refused, Mechanism: l.Reason}, true
+		return Event{Outcome: Rejected, Mechanism: l.Reason}, true
 	case l.Msg == events.RequestAnswered && l.Status >= 500:
 		return Event{Outcome: Failed, Mechanism: "status " + strconv.Itoa(l.Status)}, true
 	case l.Msg == events.RequestAnswered && l.Late:
 		return Event{Outcome: Late, Mechanism: "answered after the objective"}, true
 	case l.Msg == events.AttemptFailed:
-		return Event{Outcome: Repeated, Mechanism: l.Result + ", " + names.ReplaceAllString(l.Cause, "*")}, true
+		return Event{Outcome: AttemptFailed, Mechanism: l.Result + ", " + perRequestNames.ReplaceAllString(l.Cause, "*")}, true
 	}
 	return Event{}, false
 }
--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -11,71 +11,71 @@
 	"kitetiller/internal/pushback"
 )
 
-// engineNode is an engine model at an address of its own name.
+// engineNode is an emulated engine. Its address equals its name.
 type engineNode struct {
-	run   *run
-	name  string
-	zone  string
-	model *engine.Model
-	lives uint64
-	down  bool
-	alarm vtime.Alarm
-	seed  uint64
+	run         *run
+	name        string
+	zone        string
+	model       *engine.Model
+	incarnation uint64
+	down        bool
+	alarm       vtime.Alarm
+	seed        uint64
 
-	underWay      int // prompt tokens sent, not arrived yet
-	underWayQuick int // the same for the interactive lane
+	inFlightTokens            int // uncached prompt tokens of requests that are still on the network
+	inFlightInteractiveTokens int // those of the interactive lane
 }
 
-// sending joins a job to the router and the request it belongs to.
-type sending struct {
-	router  *routerNode
-	request *pending
-	attempt core.AttemptID
-	tokens  int
-	lane    core.Lane
-	over    bool
+// attempt is one dispatch of a request to an engine.
+type attempt struct {
+	router    *routerNode
+	request   *pending
+	attempt   core.AttemptID
+	tokens    int
+	lane      core.Lane
+	cancelled bool
 }
 
-func (e *engineNode) boot() {
-	e.lives++
+func (e *engineNode) start() {
+	e.incarnation++
 	e.down = false
-	e.model = engine.New(e.name, e.lives, weights, e.run.rates, e.run.options.grain(), e.seed+e.lives, guard.Set{})
-	e.model.Import = e.run.importFrom
+	e.model = engine.New(e.name, e.incarnation, weights, e.run.rates, e.run.options.blockTokens(), e.seed+e.incarnation, guard.Set{})
+	e.model.Import = e.run.exportablePrefix
 	e.alarm = vtime.Alarm{}
 }
 
-// crash ends the life; whoever waits for a stream sees its connection break.
+// crash stops the engine and breaks the connections of its running attempts.
 func (e *engineNode) crash() {
 	e.down = true
 	for _, router := range e.run.routers {
-		router.breakSendings(e)
+		router.breakAttempts(e)
 	}
 }
 
-// pendingTokens is the true prefill before a new request of a lane, what is under way included.
+// pendingTokens returns the prefill tokens ahead of a new request of a lane, including requests still on the network.
 func (e *engineNode) pendingTokens(lane core.Lane) int {
 	e.advance()
-	load := e.model.TrueLoad()
+	load := e.model.CurrentLoad()
 	if lane == core.LaneInteractive {
-		return load.InteractiveTokens + e.underWayQuick
+		return load.InteractiveTokens + e.inFlightInteractiveTokens
 	}
-	return load.WaitingTokens + e.underWay
+	return load.WaitingTokens + e.inFlightTokens
 }
 
-func (e *engineNode) count(s *sending, sign int) {
-	e.underWay += sign * s.tokens
+func (e *engineNode) adjustInFlight(s *attempt, sign int) {
+	e.inFlightTokens += sign * s.tokens
 	if s.lane == core.LaneInteractive {
-		e.underWayQuick += sign * s.tokens
+		e.inFlightInteractiveTokens += sign * s.tokens
 	}
 }
 
-// busyRest is how long an engine that is full wants nothing.
-const busyRest = 100 * time.Millisecond
+// queueFullBackoff is the backoff that an engine with a full queue asks for.
+const queueFullBackoff = 100 * time.Millisecond
 
-// arrive takes a job when it has come over the network.
-func (e *engineNode) arrive(action core.ActionDispatch, s *sending) {
-	e.count(s, -1)
-	if s.over {
+// submit handles a request that has arrived at the engine.
+func (e *engineNode) submit(action core.ActionDispatch, s *attempt) {
+	e.adjustInFlight(s, -1)
+	if s.cancelled {
 		return
 	}
 	if e.down {
@@ -86,43 +86,43 @@
 	job := &engine.Job{
 		Attempt: action.Attempt, Origin: s.router.zone, Tenant: s.request.request.Tenant, Blocks: action.Blocks,
 		PromptTokens: s.request.request.PromptTokens, MaxTokens: action.MaxTokens, ResumeFrom: action.ResumeFrom, Lane: action.Lane,
-		Incarnation: action.Incarnation, Weights: action.Weights, RelyTokens: action.ExpectedCachedTokens,
+		Incarnation: action.Incarnation, Weights: action.Weights, ExpectedCachedTokens: action.ExpectedCachedTokens,
 		ImportFrom: action.ImportFrom, ImportBlocks: action.ImportBlocks, UserData: s,
 	}
 	switch e.model.Submit(e.run.clock.Now(), job) {
-	case engine.Taken:
-	case engine.TakenWithoutReuse:
+	case engine.Accepted:
+	case engine.AcceptedWithoutReuse:
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 	default:
-		s.router.pass(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Signals: pushback.Signals{Backoff: busyRest}})
+		s.router.sendPushback(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Signals: pushback.Signals{Backoff: queueFullBackoff}})
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 	}
 	e.advance()
 }
 
-// advance runs the model up to now and sends what it produced.
+// advance runs the model up to now and sends its output to the routers.
 func (e *engineNode) advance() {
 	if e.down {
 		return
 	}
 	now := e.run.clock.Now()
 	for _, output := range e.model.Advance(now) {
-		e.output(output)
+		e.handleOutput(output)
 	}
-	due, any := e.model.NextDue()
-	if !any {
+	due, ok := e.model.NextWakeup()
+	if !ok {
 		return
 	}
-	life := e.lives
+	incarnation := e.incarnation
 	e.alarm.Set(now, due, time.Microsecond, e.run.clock.After, func() {
-		if e.lives == life {
+		if e.incarnation == incarnation {
 			e.advance()
 		}
 	})
 }
 
-func (e *engineNode) output(output engine.Output) {
-	s := output.Job.UserData.(*sending)
+func (e *engineNode) handleOutput(output engine.Output) {
+	s := output.Job.UserData.(*attempt)
 	event := core.EventAttempt{Index: output.Index, Cached: output.Cached}
 	switch output.Kind {
 	case engine.OutputStarted:
@@ -132,33 +132,34 @@
 		event.Kind = core.AttemptChunk
 	case engine.OutputDone:
 		event.Kind = core.AttemptDone
-		e.run.keep(s)
+		e.run.storeInVault(s)
 	}
 	s.router.reply(e, s, event)
 }
 
-// deepestHolder returns who holds the longest prefix of a chain, engine or vault.
-func (r *run) deepestHolder(chain []prefix.Hash) (string, int) {
-	source, deepest := "", 0
+// longestCachedPrefix returns the engine, or the vault, with the longest cached prefix of a chain, and the length of
+// that prefix in blocks.
+func (r *run) longestCachedPrefix(chain []prefix.Hash) (string, int) {
+	source, longest := "", 0
 	for _, e := range r.engines {
-		if held := e.model.Holds(chain); !e.down && held > deepest {
-			source, deepest = e.name, held
+		if cached := e.model.CachedPrefix(chain); !e.down && cached > longest {
+			source, longest = e.name, cached
 		}
 	}
-	if held := r.vault.holds(chain); held > deepest {
-		return vaultName, held
+	if cached := r.vault.cachedPrefix(chain); cached > longest {
+		return vaultName, cached
 	}
-	return source, deepest
+	return source, longest
 }
 
-// importFrom tells how much of a chain a source can give.
-func (r *run) importFrom(source string, chain []prefix.Hash) int {
+// exportablePrefix returns how many leading blocks of a chain a source can transfer.
+func (r *run) exportablePrefix(source string, chain []prefix.Hash) int {
 	if source == vaultName {
-		return r.vault.holds(chain)
+		return r.vault.cachedPrefix(chain)
 	}
 	for _, e := range r.engines {
 		if e.name == source && !e.down {
-			return e.model.Export(r.clock.Now(), chain)
+			return e.model.ExportablePrefix(r.clock.Now(), chain)
 		}
 	}
 	return 0
--- a/internal/lab/bench/goodput_test.go
+++ b/internal/lab/bench/goodput_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-// TestGoodputStaysUnderOverload: refusing in time keeps at least 0.9 of the peak at twice the load; sending everything does not.
+// Guards that early rejection keeps goodput at twice the capacity near its peak, while goodput collapses without it.
 func TestGoodputStaysUnderOverload(t *testing.T) {
 	for seed := range uint64(5) {
 		peak := map[bool]float64{}
 		at := map[bool]map[float64]float64{false: {}, true: {}}
 		for _, p := range GoodputCurve(seed) {
-			peak[p.Refusal] = max(peak[p.Refusal], p.InTime)
-			at[p.Refusal][p.Load] = p.InTime
+			peak[p.EarlyRejection] = max(peak[p.EarlyRejection], p.InTime)
+			at[p.EarlyRejection][p.Load] = p.InTime
 		}
-		if with := at[true][2]; with < 0.9*peak[true] {
-			t.Errorf("seed %d: %.3f in time at twice the load, %.3f at the peak", seed, with, peak[true])
+		if goodput := at[true][2]; goodput < 0.9*peak[true] {
+			t.Errorf("seed %d: goodput with early rejection is %.3f at twice the capacity, peak is %.3f", seed, goodput, peak[true])
 		}
-		if without := at[false][2]; without > 0.5*peak[false] {
-			t.Errorf("seed %d: the stand-in does not collapse: %.3f of %.3f", seed, without, peak[false])
+		if goodput := at[false][2]; goodput > 0.5*peak[false] {
+			t.Errorf("seed %d: goodput without rejection does not collapse: %.3f at twice the capacity, peak is %.3f", seed, goodput, peak[false])
 		}
-		if calm := at[true][0.5]; calm < 0.98*at[false][0.5] {
-			t.Errorf("seed %d: %.3f in time at half the load, %.3f without refusals", seed, calm, at[false][0.5])
+		if goodput := at[true][0.5]; goodput < 0.98*at[false][0.5] {
+			t.Errorf("seed %d: goodput at half the capacity is %.3f with early rejection, %.3f without", seed, goodput, at[false][0.5])
 		}
 	}
 }
--- a/internal/lab/bench/measure.go
+++ b/internal/lab/bench/measure.go
@@ -17,79 +17,79 @@
 
 // Row is the result of one policy over one seed.
 type Row struct {
-	Deployment           string  `json:"deployment"`
-	Policy               Policy  `json:"policy"`
-	Seed                 uint64  `json:"seed"`
-	PrefixHitRate        float64 `json:"prefix_hit_rate"` // prompt tokens reused or copied, of all prompt tokens
-	CopiedShare          float64 `json:"copied_token_share"`
-	TTFTP50              float64 `json:"ttft_p50_ms"`
-	TTFTP99              float64 `json:"ttft_p99_ms"`
-	InteractiveTTFTP99   float64 `json:"interactive_ttft_p99_ms"`
-	RecomputedTokenShare float64 `json:"recomputed_token_share"`          // prompt tokens computed though some engine had computed them before
-	RecomputedElsewhere  float64 `json:"recomputed_held_elsewhere_share"` // of them, those that another live engine held
-	RefusedShare         float64 `json:"refused_share"`
-	Completed            int     `json:"completed"`
-	Goodput              float64 `json:"goodput_per_s"`    // answers whose first token came within their deadline
-	CrashRecovery        float64 `json:"crash_recovery_s"` // until the hit rate was back at 90% of what it was; -1: not within the run
-	ShiftRecovery        float64 `json:"shift_recovery_s"`
-	Scale                float64 `json:"scale"` // of the deployment's request rate
-
-	hitSeries  []float64 // hit rate by second
+	Deployment                string  `json:"deployment"`
+	Policy                    Policy  `json:"policy"`
+	Seed                      uint64  `json:"seed"`
+	PrefixHitRate             float64 `json:"prefix_hit_rate"` // fraction of prompt tokens reused from a cache or imported
+	ImportedRatio             float64 `json:"copied_token_share"`
+	TTFTP50                   float64 `json:"ttft_p50_ms"`
+	TTFTP99                   float64 `json:"ttft_p99_ms"`
+	InteractiveTTFTP99        float64 `json:"interactive_ttft_p99_ms"`
+	RecomputedRatio           float64 `json:"recomputed_token_share"`          // fraction of prompt tokens computed again
+	RecomputedCachedElsewhere float64 `json:"recomputed_held_elsewhere_share"` // while cached elsewhere
+	RejectedRatio             float64 `json:"refused_share"`
+	Completed                 int     `json:"completed"`
+	Goodput                   float64 `json:"goodput_per_s"`    // requests whose first token came within the deadline
+	CrashRecovery             float64 `json:"crash_recovery_s"` // until the hit rate is back; -1: never
+	ShiftRecovery             float64 `json:"shift_recovery_s"`
+	Scale                     float64 `json:"scale"` // factor on the deployment's request rate
+
+	hitSeries  []float64 // hit rate of each second
 	firstToken *hdrhistogram.Histogram
-	byCause    [causeCount]float64 // recomputed tokens, by why
+	byCause    [causeCount]float64 // recomputed tokens
 }
 
-// cause is why tokens were computed again.
+// cause is why tokens were recomputed.
 type cause int
 
-// Causes, from what the engines held when the job began.
+// Causes, by the contents of the caches when the job started.
 const (
-	causeElsewhere cause = iota // another live engine held them
-	causeEvicted                // nobody held them any more
+	causeCachedElsewhere cause = iota // another live engine or the vault had them cached
+	causeEvicted                      // no cache had them any more
 	causeCount
 )
 
-// measure collects what a run shows. Requests sent before the warm-up ends are not counted.
+// measure collects the results of a run. Requests sent before the warm-up ends are not counted.
 type measure struct {
-	run         *run
-	prompt      int
-	hit         int
-	copied      int
-	recomputed  int
-	completed   int
-	refused     int
-	inTime      int
-	all         *hdrhistogram.Histogram
-	interactive *hdrhistogram.Histogram
-	everMade    map[prefix.Hash]bool
-	hitBySecond [][2]int // hit and prompt tokens
-	byCause     [causeCount]float64
+	run             *run
+	promptTokens    int
+	hitTokens       int
+	imported        int
+	recomputed      int
+	completed       int
+	rejected        int
+	inTime          int
+	ttft            *hdrhistogram.Histogram
+	interactiveTTFT *hdrhistogram.Histogram
+	computedBlocks  map[prefix.Hash]bool
+	hitBySecond     [][2]int // hit and prompt tokens
+	byCause         [causeCount]float64
 }
 
 func newMeasure(r *run) *measure {
 	return &measure{
-		run: r, everMade: map[prefix.Hash]bool{},
-		all:         hdrhistogram.New(1, histogramHighest, histogramDigits),
-		interactive: hdrhistogram.New(1, histogramHighest, histogramDigits),
-		hitBySecond: make([][2]int, int(r.options.length()/time.Second)+2),
+		run: r, computedBlocks: map[prefix.Hash]bool{},
+		ttft:            hdrhistogram.New(1, histogramHighest, histogramDigits),
+		interactiveTTFT: hdrhistogram.New(1, histogramHighest, histogramDigits),
+		hitBySecond:     make([][2]int, int(r.options.totalLength()/time.Second)+2),
 	}
 }
 
-// started counts reuse when an engine begins a job.
-func (m *measure) started(now time.Duration, s *sending, output engine.Output) {
-	again, elsewhere := 0, 0
+// started records cached, imported and recomputed tokens when an engine starts a job.
+func (m *measure) started(now time.Duration, s *attempt, output engine.Output) {
+	recomputed, elsewhere := 0, 0
 	chain := output.Job.Blocks
-	first := output.Cached / m.run.options.grain()
+	first := output.Cached / m.run.options.blockTokens()
 	if first < len(chain) {
-		_, held := m.run.deepestHolder(chain)
+		_, longestCached := m.run.longestCachedPrefix(chain)
 		for i, hash := range chain[first:] {
-			if m.everMade[hash] {
-				again += m.run.options.grain()
-				if first+i < held {
-					elsewhere += m.run.options.grain()
+			if m.computedBlocks[hash] {
+				recomputed += m.run.options.blockTokens()
+				if first+i < longestCached {
+					elsewhere += m.run.options.blockTokens()
 				}
 			}
-			m.everMade[hash] = true
+			m.computedBlocks[hash] = true
 		}
 	}
 	second := int(now / time.Second)
@@ -100,26 +100,26 @@
 	if s.request.sentAt < warmUp {
 		return
 	}
-	m.prompt += output.Job.PromptTokens
-	m.hit += output.Cached
-	m.copied += output.Imported
-	m.recomputed += again
-	m.byCause[causeElsewhere] += float64(elsewhere)
-	m.byCause[causeEvicted] += float64(again - elsewhere)
+	m.promptTokens += output.Job.PromptTokens
+	m.hitTokens += output.Cached
+	m.imported += output.Imported
+	m.recomputed += recomputed
+	m.byCause[causeCachedElsewhere] += float64(elsewhere)
+	m.byCause[causeEvicted] += float64(recomputed - elsewhere)
 }
 
 func (m *measure) firstToken(now time.Duration, request *pending) {
 	if request.sentAt < warmUp {
 		return
 	}
-	waited := now - request.sentAt
-	_ = m.all.RecordValue(waited.Microseconds()) // the range covers the whole run
-	limit := m.run.deployment.Traffic.LongLimit
+	ttft := now - request.sentAt
+	_ = m.ttft.RecordValue(ttft.Microseconds()) // the histogram's range covers the whole run
+	deadline := m.run.deployment.Traffic.LongDeadline
 	if request.prompt.Short {
-		_ = m.interactive.RecordValue(waited.Microseconds())
-		limit = m.run.deployment.Traffic.InteractiveLimit
+		_ = m.interactiveTTFT.RecordValue(ttft.Microseconds())
+		deadline = m.run.deployment.Traffic.InteractiveDeadline
 	}
-	if waited <= limit {
+	if ttft <= deadline {
 		m.inTime++
 	}
 }
@@ -132,10 +132,10 @@
 		m.completed++
 		return
 	}
-	m.refused++
+	m.rejected++
 }
 
-func share(part, whole int) float64 {
+func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
@@ -146,21 +146,20 @@
 	return float64(h.ValueAtQuantile(quantile)) / 1000
 }
 
-// row returns the result.
 func (m *measure) row() Row {
 	row := Row{
 		Deployment: m.run.deployment.Name, Policy: m.run.policy, Seed: m.run.seed,
-		PrefixHitRate: share(m.hit, m.prompt), CopiedShare: share(m.copied, m.prompt),
-		TTFTP50: milliseconds(m.all, 50), TTFTP99: milliseconds(m.all, 99), InteractiveTTFTP99: milliseconds(m.interactive, 99),
-		RecomputedTokenShare: share(m.recomputed, m.prompt), RefusedShare: share(m.refused, m.refused+m.completed),
+		PrefixHitRate: ratio(m.hitTokens, m.promptTokens), ImportedRatio: ratio(m.imported, m.promptTokens),
+		TTFTP50: milliseconds(m.ttft, 50), TTFTP99: milliseconds(m.ttft, 99), InteractiveTTFTP99: milliseconds(m.interactiveTTFT, 99),
+		RecomputedRatio: ratio(m.recomputed, m.promptTokens), RejectedRatio: ratio(m.rejected, m.rejected+m.completed),
 		Completed: m.completed, Goodput: float64(m.inTime) / (m.run.options.Length - warmUp).Seconds(),
-		firstToken: m.all, byCause: m.byCause, Scale: m.run.options.Scale,
+		firstToken: m.ttft, byCause: m.byCause, Scale: m.run.options.Scale,
 	}
-	if m.prompt > 0 {
-		row.RecomputedElsewhere = m.byCause[causeElsewhere] / float64(m.prompt)
+	if m.promptTokens > 0 {
+		row.RecomputedCachedElsewhere = m.byCause[causeCachedElsewhere] / float64(m.promptTokens)
 	}
 	for _, second := range m.hitBySecond {
-		row.hitSeries = append(row.hitSeries, share(second[0], second[1]))
+		row.hitSeries = append(row.hitSeries, ratio(second[0], second[1]))
 	}
 	row.CrashRecovery = m.recovery(m.run.options.crashAt())
 	row.ShiftRecovery = m.recovery(m.run.options.shiftAt())
@@ -168,36 +167,36 @@
 }
 
 const (
-	recoveryWindow = 8   // seconds before an event from which the former level is taken
-	recoverySpan   = 3   // seconds over which the level is smoothed
-	recoveredShare = 0.9 // of the former level
+	recoveryWindow    = 8   // seconds before an event over which the baseline is taken
+	recoverySmoothing = 3   // seconds over which the hit rate is averaged
+	recoveredRatio    = 0.9 // of the baseline
 )
 
-// recovery returns the seconds from an event until the hit rate is back.
+// recovery returns the seconds from an event until the hit rate has recovered, or -1.
 func (m *measure) recovery(at time.Duration) float64 {
 	second := int(at / time.Second)
-	former := m.level(second-recoveryWindow, second)
+	baseline := m.hitRate(second-recoveryWindow, second)
 	last := int(m.run.options.Length / time.Second)
-	fallen := false
+	dropped := false
 	for end := second + 1; end <= last; end++ {
-		level := m.level(max(second, end-recoverySpan), end)
-		if level < recoveredShare*former {
-			fallen = true
+		level := m.hitRate(max(second, end-recoverySmoothing), end)
+		if level < recoveredRatio*baseline {
+			dropped = true
 			continue
 		}
-		if fallen || end-second >= recoverySpan {
+		if dropped || end-second >= recoverySmoothing {
 			return float64(end - second - 1)
 		}
 	}
 	return -1
 }
 
-// level is the hit rate over seconds from first to before last.
-func (m *measure) level(first, last int) float64 {
+// hitRate returns the hit rate over the seconds from first up to, but not including, last.
+func (m *measure) hitRate(first, last int) float64 {
 	hit, prompt := 0, 0
 	for second := max(0, first); second < min(last, len(m.hitBySecond)); second++ {
 		hit += m.hitBySecond[second][0]
 		prompt += m.hitBySecond[second][1]
 	}
-	return share(hit, prompt)
+	return ratio(hit, prompt)
 }
--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -1,5 +1,5 @@
-// Package bench compares routing policies in virtual time: the router's core, with the policy under test as its
-// placer, drives engine models with a deployment's sizes and traffic. All policies get the same requests.
+// Package bench compares routing policies in virtual time. The router's core, with the policy under test as its placer,
+// drives emulated engines with the sizes and traffic of a deployment. All policies get the same requests.
 package bench
 
 import (
@@ -12,10 +12,10 @@
 	"kitetiller/internal/core"
 )
 
-// Policy names a way to choose an engine.
+// Policy is the name of a routing policy.
 type Policy string
 
-// Policies compared, the baselines first.
+// Policies under comparison, baselines first.
 const (
 	Random            Policy = "random"
 	RoundRobin        Policy = "round-robin"
@@ -26,14 +26,14 @@
 	Clairvoyant       Policy = "clairvoyant"
 )
 
-// Policies lists every policy in the order of reports.
+// Policies returns all policies in the order of the reports.
 func Policies() []Policy {
 	return []Policy{Random, RoundRobin, LeastLoaded, PrefixHash, BoundedPrefixHash, Kitetiller, Clairvoyant}
 }
 
 const (
-	// loadBound is the factor over the mean load at which bounded prefix hashing goes on to the next engine.
-	loadBound = 1.25
+	// maxLoadFactor is the multiple of the mean load from which bounded prefix hashing skips an engine.
+	maxLoadFactor = 1.25
 )
 
 // placerFor returns the placer of a policy.
@@ -48,22 +48,22 @@
 	case PrefixHash:
 		return prefixHashPlacer{depth: r.options.hashDepth()}
 	case BoundedPrefixHash:
-		return prefixHashPlacer{depth: r.options.hashDepth(), bounded: true}
+		return prefixHashPlacer{depth: r.options.hashDepth(), limitLoad: true}
 	case Clairvoyant:
 		return clairvoyantPlacer{run: r}
 	}
 	return core.CostPlacer{}
 }
 
-// noImports is embedded by the baselines, which move no cached blocks.
+// noImports is embedded by the baselines, which import no cached blocks.
 type noImports struct{}
 
-// AllowsImport is false: baselines move no cached blocks.
+// AllowsImport returns false.
 func (noImports) AllowsImport() bool { return false }
 
 type randomPlacer struct{ noImports }
 
-// Pick returns any candidate.
+// Pick returns a random candidate.
 func (randomPlacer) Pick(context core.PlacementContext, candidates []core.Candidate) int {
 	return context.Random.IntN(len(candidates))
 }
@@ -73,7 +73,7 @@
 	last int
 }
 
-// Pick returns the candidate after the last one, in order of engine rows.
+// Pick returns the candidate after the last chosen one, by engine ID.
 func (p *roundRobinPlacer) Pick(_ core.PlacementContext, candidates []core.Candidate) int {
 	best := -1
 	for i := range candidates {
@@ -101,15 +101,15 @@
 	return best
 }
 
-// prefixHashPlacer places by rendezvous hashing of the prompt's root; with a bound it passes over engines that
-// have much more than the mean load.
+// prefixHashPlacer places by rendezvous hashing of the prompt's first blocks. With limitLoad set it skips engines whose
+// load is far above the mean.
 type prefixHashPlacer struct {
 	noImports
-	depth   int // blocks of the prompt that are hashed
-	bounded bool
+	depth     int // blocks of the prompt that are hashed
+	limitLoad bool
 }
 
-// Pick returns the candidate with the highest hash that the bound allows.
+// Pick returns the candidate with the highest hash among those within the load limit.
 func (p prefixHashPlacer) Pick(context core.PlacementContext, candidates []core.Candidate) int {
 	order := make([]int, len(candidates))
 	weights := make([]uint64, len(candidates))
@@ -124,12 +124,12 @@
 		}
 		return 1
 	})
-	if !p.bounded {
+	if !p.limitLoad {
 		return order[0]
 	}
-	bound := loadBound * float64(total+1) / float64(len(candidates))
+	maxRunning := maxLoadFactor * float64(total+1) / float64(len(candidates))
 	for _, i := range order {
-		if float64(candidates[i].Running) < max(1, bound) {
+		if float64(candidates[i].Running) < max(1, maxRunning) {
 			return i
 		}
 	}
@@ -146,22 +146,23 @@
 	_, _ = digest.WriteString(name)
 	var sum [8]byte
 	binary.LittleEndian.PutUint64(sum[:], digest.Sum64())
-	return xxhash.Sum64(sum[:]) // mixed once more: the names differ in their last digits only
+	return xxhash.Sum64(sum[:]) // hashed again because the names differ only in their last digits
 }
 
-// clairvoyantPlacer knows every cache and every queue exactly, and chooses by the same cost as the router.
+// clairvoyantPlacer knows the exact state of every cache and queue and uses the router's cost function. It shows how
+// much better state would help.
 type clairvoyantPlacer struct{ run *run }
 
-// AllowsImport is true: the bound may move cached blocks too.
+// AllowsImport returns true, as for the router.
 func (clairvoyantPlacer) AllowsImport() bool { return true }
 
-// Pick corrects every candidate by what is true and returns the cheapest.
+// Pick replaces the estimates of each candidate by the true state and returns the cheapest.
 func (p clairvoyantPlacer) Pick(context core.PlacementContext, candidates []core.Candidate) int {
 	chain := context.Request.Chains[0].Blocks
 	best := -1
-	source, deepest := p.run.deepestHolder(chain)
+	source, longestCached := p.run.longestCachedPrefix(chain)
 	for i := range candidates {
-		p.correct(context, &candidates[i], source, deepest)
+		p.applyTrueState(context, &candidates[i], source, longestCached)
 		if best < 0 || candidates[i].Cost < candidates[best].Cost {
 			best = i
 		}
@@ -169,31 +170,31 @@
 	return best
 }
 
-func (p clairvoyantPlacer) correct(context core.PlacementContext, candidate *core.Candidate, source string, deepest int) {
+func (p clairvoyantPlacer) applyTrueState(context core.PlacementContext, candidate *core.Candidate, source string, longestCached int) {
 	node := p.run.engines[candidate.Engine]
 	rates := p.run.rates
-	held := node.model.Holds(context.Request.Chains[0].Blocks)
-	compute := p.tokensLeft(context.Request, held)
-	copied, displaced := time.Duration(0), time.Duration(0)
+	cachedBlocks := node.model.CachedPrefix(context.Request.Chains[0].Blocks)
+	computeTokens := p.uncachedTokens(context.Request, cachedBlocks)
+	importTime, displacedTime := time.Duration(0), time.Duration(0)
 	candidate.ImportBlocks, candidate.ImportFrom = 0, ""
-	if deepest > held && source != node.name {
-		moved := (deepest - held) * p.run.options.grain()
-		whole := seconds(float64(moved)/rates.ImportTokens) + seconds(float64(p.tokensLeft(context.Request, deepest))/rates.PrefillTokens)
-		if whole < seconds(float64(compute)/rates.PrefillTokens) {
-			candidate.ImportBlocks, candidate.ImportFrom = deepest, source
-			compute, copied = p.tokensLeft(context.Request, deepest), seconds(float64(moved)/rates.ImportTokens)
-			displaced = seconds(core.DisplacedFraction * float64(moved) / rates.PrefillTokens)
+	if longestCached > cachedBlocks && source != node.name {
+		importTokens := (longestCached - cachedBlocks) * p.run.options.blockTokens()
+		timeWithImport := seconds(float64(importTokens)/rates.ImportTokensPerSecond) + seconds(float64(p.uncachedTokens(context.Request, longestCached))/rates.PrefillTokensPerSecond)
+		if timeWithImport < seconds(float64(computeTokens)/rates.PrefillTokensPerSecond) {
+			candidate.ImportBlocks, candidate.ImportFrom = longestCached, source
+			computeTokens, importTime = p.uncachedTokens(context.Request, longestCached), seconds(float64(importTokens)/rates.ImportTokensPerSecond)
+			displacedTime = seconds(core.DisplacedFraction * float64(importTokens) / rates.PrefillTokensPerSecond)
 		}
 	}
-	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokens)
-	work := seconds(float64(compute) / rates.PrefillTokens)
-	candidate.Cached, candidate.Uncached = held*p.run.options.grain(), compute
-	candidate.Predicted = wait + work + copied
-	candidate.Cost = context.Values.TimeWeight*candidate.Predicted.Seconds() + context.Values.RecomputeWeight*(work+displaced).Seconds()
+	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokensPerSecond)
+	work := seconds(float64(computeTokens) / rates.PrefillTokensPerSecond)
+	candidate.Cached, candidate.Uncached = cachedBlocks*p.run.options.blockTokens(), computeTokens
+	candidate.Predicted = wait + work + importTime
+	candidate.Cost = context.Values.TimeWeight*candidate.Predicted.Seconds() + context.Values.RecomputeWeight*(work+displacedTime).Seconds()
 }
 
-func (p clairvoyantPlacer) tokensLeft(request *core.Request, blocks int) int {
-	return max(1, request.PromptTokens-blocks*p.run.options.grain())
+func (p clairvoyantPlacer) uncachedTokens(request *core.Request, blocks int) int {
+	return max(1, request.PromptTokens-blocks*p.run.options.blockTokens())
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/lab/bench/report.go
+++ b/internal/lab/bench/report.go
@@ -13,30 +13,30 @@
 	"github.com/rotisserie/eris"
 )
 
-// Compare runs every policy over seeds, several at once, and returns the rows by policy, then seed.
+// Compare runs every policy with every seed, in parallel, and returns the rows ordered by policy, then seed.
 func Compare(options Options, policies []Policy, firstSeed uint64, seeds int) []Row {
 	rows := make([]Row, len(policies)*seeds)
-	slots := make(chan struct{}, runtime.NumCPU())
-	var runs sync.WaitGroup
-	for at := range rows {
-		slots <- struct{}{}
-		runs.Go(func() {
-			rows[at] = Run(options, policies[at/seeds], firstSeed+uint64(at%seeds))
-			<-slots
+	workers := make(chan struct{}, runtime.NumCPU())
+	var wg sync.WaitGroup
+	for i := range rows {
+		workers <- struct{}{}
+		wg.Go(func() {
+			rows[i] = Run(options, policies[i/seeds], firstSeed+uint64(i%seeds))
+			<-workers
 		})
 	}
-	runs.Wait()
+	wg.Wait()
 	return rows
 }
 
-// Summary is a policy's mean over seeds.
+// Summary holds a policy's results over all seeds.
 type Summary struct {
 	Policy Policy
 	Mean   Row
-	Spread map[string]float64 // standard deviation over seeds by column
+	Spread map[string]float64 // standard deviation over seeds, by column name
 }
 
-// column is one measured figure.
+// column is a column of the result table.
 type column struct {
 	name  string
 	value func(*Row) *float64
@@ -47,27 +47,27 @@
 	{"p50 ms", func(r *Row) *float64 { return &r.TTFTP50 }},
 	{"p99 ms", func(r *Row) *float64 { return &r.TTFTP99 }},
 	{"interactive p99 ms", func(r *Row) *float64 { return &r.InteractiveTTFTP99 }},
-	{"recomputed", func(r *Row) *float64 { return &r.RecomputedTokenShare }},
-	{"held elsewhere", func(r *Row) *float64 { return &r.RecomputedElsewhere }},
-	{"copied", func(r *Row) *float64 { return &r.CopiedShare }},
-	{"refused", func(r *Row) *float64 { return &r.RefusedShare }},
+	{"recomputed", func(r *Row) *float64 { return &r.RecomputedRatio }},
+	{"held elsewhere", func(r *Row) *float64 { return &r.RecomputedCachedElsewhere }},
+	{"copied", func(r *Row) *float64 { return &r.ImportedRatio }},
+	{"refused", func(r *Row) *float64 { return &r.RejectedRatio }},
 	{"goodput/s", func(r *Row) *float64 { return &r.Goodput }},
 	{"crash recovery s", func(r *Row) *float64 { return &r.CrashRecovery }},
 	{"shift recovery s", func(r *Row) *float64 { return &r.ShiftRecovery }},
 }
 
-// Summarise returns the mean and spread of each policy.
+// Summarise returns the mean and standard deviation of each policy.
 func Summarise(rows []Row) []Summary {
 	var summaries []Summary
 	for _, policy := range Policies() {
-		var of []Row
+		var selected []Row
 		for _, row := range rows {
 			if row.Policy == policy {
-				of = append(of, row)
+				selected = append(selected, row)
 			}
 		}
-		if len(of) > 0 {
-			summaries = append(summaries, summarise(policy, of))
+		if len(selected) > 0 {
+			summaries = append(summaries, summarise(policy, selected))
 		}
 	}
 	return summaries
@@ -90,7 +90,7 @@
 	return summary
 }
 
-// Markdown returns a table of means and spreads.
+// Markdown returns a table of means and standard deviations.
 func Markdown(title string, summaries []Summary) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "## %s\n\n| policy |", title)
@@ -101,15 +101,15 @@
 	for _, summary := range summaries {
 		fmt.Fprintf(&text, "| %s |", summary.Policy)
 		for _, c := range columns {
-			fmt.Fprintf(&text, " %s ± %s |", figure(*c.value(&summary.Mean)), figure(summary.Spread[c.name]))
+			fmt.Fprintf(&text, " %s ± %s |", formatValue(*c.value(&summary.Mean)), formatValue(summary.Spread[c.name]))
 		}
 		text.WriteString("\n")
 	}
 	return text.String()
 }
 
-// figure prints three significant digits.
-func figure(value float64) string {
+// formatValue formats a number with about three significant digits.
+func formatValue(value float64) string {
 	switch size := math.Abs(value); {
 	case size >= 100:
 		return fmt.Sprintf("%.0f", value)
@@ -121,7 +121,7 @@
 	return fmt.Sprintf("%.4f", value)
 }
 
-// WriteJSON writes a value into a folder.
+// WriteJSON writes a value as JSON to a file in a folder.
 func WriteJSON(folder, name string, value any) error {
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
@@ -130,12 +130,12 @@
 	return writeFile(folder, name, data)
 }
 
-// WriteText writes a text into a folder.
+// WriteText writes text to a file in a folder.
 func WriteText(folder, name, text string) error { return writeFile(folder, name, []byte(text)) }
 
 func writeFile(folder, name string, data []byte) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return eris.Wrapf(err, "make folder %s", folder)
+		return eris.Wrapf(err, "create folder %s", folder)
 	}
 	return eris.Wrapf(os.WriteFile(filepath.Join(folder, name), data, 0o644), "write %s", name)
 }
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	localLatency = 200 * time.Microsecond // one way within a zone
-	pollPeriod   = 100 * time.Millisecond
+	localLatency = 200 * time.Microsecond // one way, within a zone
+	pollInterval = 100 * time.Millisecond
 	indexLimit   = 200_000
-	// announcePeriod is how long a send waits to be told to the other routers together with others.
-	announcePeriod = 20 * time.Millisecond
+	// announceDelay is how long dispatches are collected before they are announced to the other routers in one batch.
+	announceDelay = 20 * time.Millisecond
 )
 
-// routerNode is one zone's router.
+// routerNode is the router of a zone.
 type routerNode struct {
-	run      *run
-	zone     string
-	core     *core.Core
-	alarm    vtime.Alarm
-	waiting  map[core.RequestID]*pending
-	sendings map[core.AttemptID]*sending
-	targets  map[core.AttemptID]*engineNode
-	nextID   core.RequestID
-	unsaid   []said
+	run           *run
+	zone          string
+	core          *core.Core
+	alarm         vtime.Alarm
+	pending       map[core.RequestID]*pending
+	attempts      map[core.AttemptID]*attempt
+	targets       map[core.AttemptID]*engineNode
+	nextID        core.RequestID
+	announcements []announcement
 }
 
-// said is an announcement and when it became true.
-type said struct {
+// announcement is a dispatch to announce to the other routers, and its time.
+type announcement struct {
 	send core.PeerDispatch
 	at   time.Duration
 }
 
-// pending is a request that has no final answer yet.
+// pending is an unfinished request.
 type pending struct {
-	request core.Request
-	prompt  traffic.Prompt
-	sentAt  time.Duration
-	first   bool // the first token has come
-	keep    blockList
+	request        core.Request
+	prompt         traffic.Prompt
+	sentAt         time.Duration
+	firstTokenSeen bool
+	vaultBlocks    blockList
 }
 
 func (r *run) newRouter(zone string, seed uint64) *routerNode {
@@ -53,23 +53,23 @@
 			latency[other] = r.deployment.ZoneLatency
 		}
 	}
-	node := &routerNode{run: r, zone: zone, waiting: map[core.RequestID]*pending{},
-		sendings: map[core.AttemptID]*sending{}, targets: map[core.AttemptID]*engineNode{}}
+	node := &routerNode{run: r, zone: zone, pending: map[core.RequestID]*pending{},
+		attempts: map[core.AttemptID]*attempt{}, targets: map[core.AttemptID]*engineNode{}}
 	node.core = core.New(core.Config{
-		Router: zone, Zone: zone, Seed: seed, BlockTokens: r.options.grain(), IndexLimit: indexLimit,
-		ZoneLatency: latency, Vault: vaultName, ImportRate: r.rates.ImportTokens, Placer: placerFor(r.policy, r),
+		Router: zone, Zone: zone, Seed: seed, BlockTokens: r.options.blockTokens(), IndexLimit: indexLimit,
+		ZoneLatency: latency, Vault: vaultName, ImportRate: r.rates.ImportTokensPerSecond, Placer: placerFor(r.policy, r),
 	})
 	return node
 }
 
-func (n *routerNode) boot() {
+func (n *routerNode) start() {
 	machines := make([]core.Machine, 0, len(n.run.engines))
 	for _, e := range n.run.engines {
 		machines = append(machines, core.Machine{Name: e.name, Zone: e.zone, Service: n.run.service, Address: e.name})
 	}
-	n.post(core.EventSettings{Version: 1, Tree: n.run.tree}, core.EventLease{Epoch: 1, Until: 1 << 62}, core.EventMachineList{Machines: machines})
+	n.tick(core.EventSettings{Version: 1, Tree: n.run.tree}, core.EventLease{Epoch: 1, Until: 1 << 62}, core.EventMachineList{Machines: machines})
 	for i, e := range n.run.engines {
-		offset := time.Duration(i) * pollPeriod / time.Duration(len(n.run.engines))
+		offset := time.Duration(i) * pollInterval / time.Duration(len(n.run.engines))
 		cursor := &membership.Cursor{}
 		n.run.clock.After(offset, func() { n.poll(e, cursor) })
 	}
@@ -82,47 +82,47 @@
 	return n.run.deployment.ZoneLatency
 }
 
-// post passes events to the core and carries out what it decides.
-func (n *routerNode) post(events ...core.Event) {
+// tick passes events to the core and performs the actions it returns.
+func (n *routerNode) tick(events ...core.Event) {
 	now := n.run.clock.Now()
 	for _, action := range n.core.Tick(now, events) {
-		n.carryOut(action)
+		n.perform(action)
 	}
-	if due, any := n.core.NextWakeup(); any {
-		n.alarm.Set(now, due, time.Millisecond, n.run.clock.After, func() { n.post() })
+	if due, ok := n.core.NextWakeup(); ok {
+		n.alarm.Set(now, due, time.Millisecond, n.run.clock.After, func() { n.tick() })
 	}
 }
 
 func (n *routerNode) poll(e *engineNode, cursor *membership.Cursor) {
-	asked := n.run.clock.Now()
+	requestedAt := n.run.clock.Now()
 	n.run.clock.After(n.latency(e), func() {
-		event := core.EventBackendPoll{Name: e.name, RequestedAt: asked}
+		event := core.EventBackendPoll{Name: e.name, RequestedAt: requestedAt}
 		if !e.down {
 			e.advance()
 			report := e.model.Report(n.run.clock.Now(), cursor.Next())
 			cursor.Advance(&report)
 			event.Report = &report
 		}
-		n.run.clock.After(n.latency(e), func() { n.post(event) })
+		n.run.clock.After(n.latency(e), func() { n.tick(event) })
 	})
-	n.run.clock.After(pollPeriod, func() { n.poll(e, cursor) })
+	n.run.clock.After(pollInterval, func() { n.poll(e, cursor) })
 }
 
-// arrive takes a caller's prompt.
-func (n *routerNode) arrive(prompt traffic.Prompt, sentAt time.Duration) {
+// handlePrompt turns a caller's prompt into a request.
+func (n *routerNode) handlePrompt(prompt traffic.Prompt, sentAt time.Duration) {
 	n.nextID++
 	request := core.Request{
 		ID: n.nextID, Tenant: prompt.Tenant, Service: n.run.service, PromptTokens: tokensOf(prompt.Text), MaxTokens: prompt.MaxTokens,
 		Chains: []core.Chain{{Weights: weights, Blocks: n.run.hasher.Chain(prompt.Tenant, weights, []byte(prompt.Text))}},
 	}
-	if prompt.Short { // the users' quick questions ask for the interactive lane
+	if prompt.Short { // short prompts ask for the interactive lane
 		request.Lane, request.LaneFixed = core.LaneInteractive, true
 	}
-	n.waiting[request.ID] = &pending{request: request, prompt: prompt, sentAt: sentAt}
-	n.post(core.EventRequest{Request: request})
+	n.pending[request.ID] = &pending{request: request, prompt: prompt, sentAt: sentAt}
+	n.tick(core.EventRequest{Request: request})
 }
 
-func (n *routerNode) carryOut(action core.Action) {
+func (n *routerNode) perform(action core.Action) {
 	switch typed := action.(type) {
 	case core.ActionDispatch:
 		n.dispatch(typed)
@@ -138,41 +138,41 @@
 }
 
 func (n *routerNode) dispatch(action core.ActionDispatch) {
-	request := n.waiting[action.ID]
+	request := n.pending[action.ID]
 	e := n.run.byName[action.Backend]
-	s := &sending{router: n, request: request, attempt: action.Attempt, lane: action.Lane,
+	s := &attempt{router: n, request: request, attempt: action.Attempt, lane: action.Lane,
 		tokens: max(1, request.request.PromptTokens-action.ExpectedCachedTokens)}
 	if action.StoreInVault {
-		request.keep = action.Blocks[:action.VaultBlocks]
+		request.vaultBlocks = action.Blocks[:action.VaultBlocks]
 	}
-	n.sendings[action.Attempt], n.targets[action.Attempt] = s, e
+	n.attempts[action.Attempt], n.targets[action.Attempt] = s, e
 	n.announce(core.PeerDispatch{Backend: e.name, Tokens: action.PrefillTokens, Lane: action.Lane})
-	e.count(s, 1)
-	n.run.clock.After(n.latency(e), func() { e.arrive(action, s) })
+	e.adjustInFlight(s, 1)
+	n.run.clock.After(n.latency(e), func() { e.submit(action, s) })
 }
 
-// reply sends an event of an attempt back to the router.
-func (n *routerNode) reply(e *engineNode, s *sending, event core.EventAttempt) {
+// reply delivers an event of an attempt to the router, unless the attempt was cancelled.
+func (n *routerNode) reply(e *engineNode, s *attempt, event core.EventAttempt) {
 	event.ID, event.Attempt, event.Echo = s.request.request.ID, s.attempt, s.attempt
 	n.run.clock.After(n.latency(e), func() {
-		if !s.over {
-			n.post(event)
+		if !s.cancelled {
+			n.tick(event)
 		}
 	})
 }
 
-// pass passes on what an engine says of itself, also where the attempt is over.
-func (n *routerNode) pass(e *engineNode, said core.EventPushback) {
-	n.run.clock.After(n.latency(e), func() { n.post(said) })
+// sendPushback delivers an engine's pushback to the router, even if the attempt was cancelled.
+func (n *routerNode) sendPushback(e *engineNode, event core.EventPushback) {
+	n.run.clock.After(n.latency(e), func() { n.tick(event) })
 }
 
 func (n *routerNode) cancel(attempt core.AttemptID) {
-	s, e := n.sendings[attempt], n.targets[attempt]
+	s, e := n.attempts[attempt], n.targets[attempt]
 	if s == nil {
 		return
 	}
 	n.forget(attempt)
-	s.over = true
+	s.cancelled = true
 	n.run.clock.After(n.latency(e), func() {
 		if !e.down {
 			e.model.Cancel(n.zone, attempt)
@@ -182,12 +182,12 @@
 }
 
 func (n *routerNode) forget(attempt core.AttemptID) {
-	delete(n.sendings, attempt)
+	delete(n.attempts, attempt)
 	delete(n.targets, attempt)
 }
 
-// breakSendings breaks every connection to an engine that crashed.
-func (n *routerNode) breakSendings(e *engineNode) {
+// breakAttempts reports a broken connection for every attempt on a crashed engine.
+func (n *routerNode) breakAttempts(e *engineNode) {
 	var broken []core.AttemptID
 	for attempt, target := range n.targets {
 		if target == e {
@@ -196,24 +196,24 @@
 	}
 	slices.Sort(broken)
 	for _, attempt := range broken {
-		n.reply(e, n.sendings[attempt], core.EventAttempt{Kind: core.AttemptBroken})
+		n.reply(e, n.attempts[attempt], core.EventAttempt{Kind: core.AttemptBroken})
 	}
 }
 
 func (n *routerNode) chunk(action core.ActionChunk) {
-	request := n.waiting[action.ID]
-	if request == nil || request.first {
+	request := n.pending[action.ID]
+	if request == nil || request.firstTokenSeen {
 		return
 	}
-	request.first = true
+	request.firstTokenSeen = true
 	n.run.measure.firstToken(n.run.clock.Now()+n.run.deployment.ClientLatency, request)
 }
 
 func (n *routerNode) finish(action core.ActionFinish) {
-	request := n.waiting[action.ID]
-	delete(n.waiting, action.ID)
+	request := n.pending[action.ID]
+	delete(n.pending, action.ID)
 	n.run.measure.finished(n.run.clock.Now()+n.run.deployment.ClientLatency, request, action)
-	for attempt, s := range n.sendings {
+	for attempt, s := range n.attempts {
 		if s.request == request {
 			n.forget(attempt)
 		}
@@ -228,40 +228,40 @@
 		}
 		blocks, sequence := e.model.Snapshot()
 		event := core.EventCacheSnapshot{Name: e.name, Incarnation: e.model.Incarnation, Sequence: sequence, Blocks: blocks}
-		n.run.clock.After(n.latency(e), func() { n.post(event) })
+		n.run.clock.After(n.latency(e), func() { n.tick(event) })
 	})
 }
 
-func (n *routerNode) tellVault(blocks blockList) {
-	n.post(core.EventVault{Blocks: blocks, Held: true})
+func (n *routerNode) recordStored(blocks blockList) {
+	n.tick(core.EventVault{Blocks: blocks, Held: true})
 }
 
-// announce tells the other routers of a send, a few at a time.
+// announce queues a dispatch for the next batch to the other routers.
 func (n *routerNode) announce(send core.PeerDispatch) {
-	n.unsaid = append(n.unsaid, said{send: send, at: n.run.clock.Now()})
-	if len(n.unsaid) > 1 {
+	n.announcements = append(n.announcements, announcement{send: send, at: n.run.clock.Now()})
+	if len(n.announcements) > 1 {
 		return
 	}
-	n.run.clock.After(announcePeriod, n.flushAnnouncements)
+	n.run.clock.After(announceDelay, n.flushAnnouncements)
 }
 
 func (n *routerNode) flushAnnouncements() {
-	unsaid := n.unsaid
-	n.unsaid = nil
+	announcements := n.announcements
+	n.announcements = nil
 	for _, peer := range n.run.routers {
 		if peer == n {
 			continue
 		}
-		n.run.clock.After(n.run.deployment.ZoneLatency, func() { peer.hear(unsaid) })
+		n.run.clock.After(n.run.deployment.ZoneLatency, func() { peer.receiveAnnouncements(announcements) })
 	}
 }
 
-func (n *routerNode) hear(unsaid []said) {
+func (n *routerNode) receiveAnnouncements(announcements []announcement) {
 	event := core.EventPeerDispatches{}
-	for _, item := range unsaid {
+	for _, item := range announcements {
 		send := item.send
 		send.Age = n.run.clock.Now() - item.at
 		event.Sends = append(event.Sends, send)
 	}
-	n.post(event)
+	n.tick(event)
 }
--- a/internal/lab/bench/vault.go
+++ b/internal/lab/bench/vault.go
@@ -8,49 +8,49 @@
 
 const vaultName = "vault"
 
-// vault is the store of kept KV cache: the least recently used blocks give way.
+// vault is a shared store of KV cache blocks with LRU eviction.
 type vault struct {
-	limit int
-	order *list.List
-	held  map[prefix.Hash]*list.Element
+	maxBlocks int
+	order     *list.List
+	entries   map[prefix.Hash]*list.Element
 }
 
-func newVault(limit int) *vault {
-	return &vault{limit: limit, order: list.New(), held: map[prefix.Hash]*list.Element{}}
+func newVault(maxBlocks int) *vault {
+	return &vault{maxBlocks: maxBlocks, order: list.New(), entries: map[prefix.Hash]*list.Element{}}
 }
 
-// holds returns how many leading blocks of a chain are kept.
-func (v *vault) holds(chain []prefix.Hash) int {
+// cachedPrefix returns how many leading blocks of a chain are stored, and marks them as used.
+func (v *vault) cachedPrefix(chain []prefix.Hash) int {
 	for i, hash := range chain {
-		place := v.held[hash]
-		if place == nil {
+		entry := v.entries[hash]
+		if entry == nil {
 			return i
 		}
-		v.order.MoveToBack(place)
+		v.order.MoveToBack(entry)
 	}
 	return len(chain)
 }
 
-func (v *vault) keep(chain []prefix.Hash) {
+func (v *vault) store(chain []prefix.Hash) {
 	for _, hash := range chain {
-		if place := v.held[hash]; place != nil {
-			v.order.MoveToBack(place)
+		if entry := v.entries[hash]; entry != nil {
+			v.order.MoveToBack(entry)
 			continue
 		}
-		v.held[hash] = v.order.PushBack(hash)
+		v.entries[hash] = v.order.PushBack(hash)
 	}
-	for len(v.held) > v.limit {
+	for len(v.entries) > v.maxBlocks {
 		oldest := v.order.Front()
-		delete(v.held, v.order.Remove(oldest).(prefix.Hash))
+		delete(v.entries, v.order.Remove(oldest).(prefix.Hash))
 	}
 }
 
-// keep stores what the router asked to keep when a job was done.
-func (r *run) keep(s *sending) {
-	blocks := s.request.keep
+// storeInVault stores the blocks that the router selected when it dispatched the request.
+func (r *run) storeInVault(s *attempt) {
+	blocks := s.request.vaultBlocks
 	if len(blocks) == 0 {
 		return
 	}
-	r.vault.keep(blocks)
-	s.router.tellVault(blocks)
+	r.vault.store(blocks)
+	s.router.recordStored(blocks)
 }
--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -11,7 +11,7 @@
 
 const testBlockTokens = 64
 
-// chainOf returns a chain of blocks that starts with the given seed.
+// chainOf returns a chain of blocks; chains of different seeds have no block in common.
 func chainOf(seed byte, length int) []prefix.Hash {
 	chain := make([]prefix.Hash, length)
 	for i := range chain {
@@ -20,7 +20,7 @@
 	return chain
 }
 
-func jobOf(attempt int, chain []prefix.Hash, tokens int) *Job {
+func newTestJob(attempt int, chain []prefix.Hash, tokens int) *Job {
 	return &Job{
 		Attempt: core.AttemptID(attempt), Origin: "router", Blocks: chain, PromptTokens: len(chain) * testBlockTokens,
 		MaxTokens: tokens, Incarnation: 1, Weights: "w1",
@@ -31,104 +31,103 @@
 	return New("engine", 1, "w1", DefaultRates(), testBlockTokens, 1, guard.Set{})
 }
 
-// TestNextDueIsEndOfStepDuringCopy: a copy that ends while a step runs must not make the model due again and
-// again at a time when it can do nothing; Advance would never return.
-func TestNextDueIsEndOfStepDuringCopy(t *testing.T) {
+// An import that ends during a step must not cause a wakeup before the end of the step: Advance would loop forever.
+func TestNextWakeupIsEndOfStepDuringImport(t *testing.T) {
 	model := newTestModel()
 	model.Import = func(string, []prefix.Hash) int { return 4 }
-	model.Submit(0, jobOf(1, chainOf(1, 100), 1))
+	model.Submit(0, newTestJob(1, chainOf(1, 100), 1))
 	model.Advance(0)
-	copying := jobOf(2, chainOf(2, 5), 1)
-	copying.ImportBlocks, copying.ImportFrom = 4, "other"
-	model.running = append(model.running, &sequence{job: copying, copying: true, readyAt: time.Millisecond, toDo: 1})
+	importing := newTestJob(2, chainOf(2, 5), 1)
+	importing.ImportBlocks, importing.ImportFrom = 4, "other"
+	model.running = append(model.running, &sequence{job: importing, importing: true, importEndsAt: time.Millisecond, promptTokensLeft: 1})
 	model.now = 2 * time.Millisecond
-	if due, _ := model.NextDue(); due != model.stepEnd {
-		t.Fatalf("due at %v while the step ends at %v", due, model.stepEnd)
+	if due, _ := model.NextWakeup(); due != model.stepEnd {
+		t.Fatalf("next wakeup at %v, want the end of the step at %v", due, model.stepEnd)
 	}
 }
 
 func runUntilIdle(model *Model) []Output {
 	var all []Output
 	for {
-		due, any := model.NextDue()
-		if !any {
+		wakeup, scheduled := model.NextWakeup()
+		if !scheduled {
 			return all
 		}
-		all = append(all, model.Advance(due)...)
+		all = append(all, model.Advance(wakeup)...)
 	}
 }
 
-func TestSecondPromptReusesThePrefix(t *testing.T) {
+func TestSecondPromptReusesCachedPrefix(t *testing.T) {
 	model := newTestModel()
-	model.Submit(0, jobOf(1, chainOf(1, 20), 3))
+	model.Submit(0, newTestJob(1, chainOf(1, 20), 3))
 	runUntilIdle(model)
-	model.Submit(model.now, jobOf(2, chainOf(1, 20), 3))
+	model.Submit(model.now, newTestJob(2, chainOf(1, 20), 3))
 	outputs := runUntilIdle(model)
 	if outputs[0].Kind != OutputStarted || outputs[0].Cached != 20*testBlockTokens {
-		t.Fatalf("started with %d cached tokens, want %d", outputs[0].Cached, 20*testBlockTokens)
+		t.Fatalf("job started with %d cached tokens, want %d", outputs[0].Cached, 20*testBlockTokens)
 	}
 }
 
-func TestStreamIsWholeAndInOrder(t *testing.T) {
+func TestResumedStreamIsCompleteAndOrdered(t *testing.T) {
 	model := newTestModel()
-	resumed := jobOf(1, chainOf(1, 3), 9)
+	resumed := newTestJob(1, chainOf(1, 3), 9)
 	resumed.ResumeFrom = 4
 	model.Submit(0, resumed)
 	next := 4
 	for _, output := range runUntilIdle(model) {
 		if output.Kind == OutputToken {
 			if output.Index != next {
-				t.Fatalf("token %d, want %d", output.Index, next)
+				t.Fatalf("token index %d, want %d", output.Index, next)
 			}
 			next++
 		}
 	}
 	if next != 9 {
-		t.Fatalf("stream ended after token %d, want 9", next)
+		t.Fatalf("stream ended before token index %d, want 9", next)
 	}
 }
 
-func TestOtherLifeIsNotReused(t *testing.T) {
+func TestCacheIsNotReusedAcrossIncarnations(t *testing.T) {
 	model := newTestModel()
-	model.Submit(0, jobOf(1, chainOf(1, 20), 1))
+	model.Submit(0, newTestJob(1, chainOf(1, 20), 1))
 	runUntilIdle(model)
-	old := jobOf(2, chainOf(1, 20), 1)
-	old.Incarnation = 7
-	if result := model.Submit(model.now, old); result != TakenWithoutReuse {
-		t.Fatalf("result %v, want TakenWithoutReuse", result)
+	stale := newTestJob(2, chainOf(1, 20), 1)
+	stale.Incarnation = 7
+	if result := model.Submit(model.now, stale); result != AcceptedWithoutReuse {
+		t.Fatalf("result %v, want AcceptedWithoutReuse", result)
 	}
 	if outputs := runUntilIdle(model); outputs[0].Cached != 0 {
-		t.Fatalf("%d tokens reused across lives", outputs[0].Cached)
+		t.Fatalf("%d cached tokens reused for another incarnation, want 0", outputs[0].Cached)
 	}
 }
 
-func TestCancelledJobGivesNothingMore(t *testing.T) {
+func TestCancelledJobProducesNoOutput(t *testing.T) {
 	model := newTestModel()
-	model.Submit(0, jobOf(1, chainOf(1, 20), 50))
+	model.Submit(0, newTestJob(1, chainOf(1, 20), 50))
 	model.Advance(200 * time.Millisecond)
 	model.Cancel("router", 1)
-	if left := runUntilIdle(model); len(left) != 0 || model.Busy() != 0 {
-		t.Fatalf("%d outputs and %d jobs after the cancel", len(left), model.Busy())
+	if outputs := runUntilIdle(model); len(outputs) != 0 || model.UnfinishedJobs() != 0 {
+		t.Fatalf("%d outputs and %d jobs after cancellation, want none", len(outputs), model.UnfinishedJobs())
 	}
 }
 
-func TestBackendsThatLeaveOrLoadRefuse(t *testing.T) {
+func TestDrainingEngineRejectsJobs(t *testing.T) {
 	model := newTestModel()
-	model.SetLeaving(true)
-	if result := model.Submit(0, jobOf(1, chainOf(1, 2), 1)); result != RefusedLeaving {
-		t.Fatalf("result %v, want RefusedLeaving", result)
+	model.SetDraining(true)
+	if result := model.Submit(0, newTestJob(1, chainOf(1, 2), 1)); result != RejectedDraining {
+		t.Fatalf("result %v, want RejectedDraining", result)
 	}
 }
 
-// TestResumeAtTheEndGivesOnlyTheEndMarker: when the end marker was lost, a resume must not make another token.
-func TestResumeAtTheEndGivesOnlyTheEndMarker(t *testing.T) {
+// Resuming a stream that lost only its end marker must not produce another token.
+func TestResumeAfterLastTokenProducesOnlyEndMarker(t *testing.T) {
 	model := newTestModel()
-	resumed := jobOf(1, chainOf(1, 3), 9)
+	resumed := newTestJob(1, chainOf(1, 3), 9)
 	resumed.ResumeFrom = 9
 	model.Submit(0, resumed)
 	for _, output := range runUntilIdle(model) {
 		if output.Kind == OutputToken {
-			t.Fatalf("token %d of an answer of 9", output.Index)
+			t.Fatalf("token index %d emitted after the last of 9 tokens", output.Index)
 		}
 	}
 }
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -11,70 +11,70 @@
 	"testing"
 )
 
-// root is the repository's folder; the tests run its scripts and the programs in bin/.
+// root is the repository's root, whose scripts and programs in bin/ the tests run.
 const root = "../../.."
 
-// running is a fleet of real processes on loopback.
-type running struct {
-	t     *testing.T
-	data  string
-	facts map[string]string
+// testFleet is a fleet of processes on the loopback interface.
+type testFleet struct {
+	t           *testing.T
+	dataDir     string
+	environment map[string]string
 }
 
-// startFleet brings a small deployment up. The programs must have been built, as "make test" does.
-func startFleet(t *testing.T) *running {
+// startFleet starts a small deployment. The programs must have been built, as "make test" does.
+func startFleet(t *testing.T) *testFleet {
 	t.Helper()
-	f := &running{t: t, data: t.TempDir(), facts: map[string]string{}}
-	t.Cleanup(func() { _, _ = f.script("stop") })
-	if output, err := f.script("start", "internal/lab/fleet/testdata/small.yaml"); err != nil {
+	f := &testFleet{t: t, dataDir: t.TempDir(), environment: map[string]string{}}
+	t.Cleanup(func() { _, _ = f.runScript("stop") })
+	if output, err := f.runScript("start", "internal/lab/fleet/testdata/small.yaml"); err != nil {
 		t.Fatalf("fleet did not start: %v\n%s", err, output)
 	}
-	text, err := os.ReadFile(filepath.Join(f.data, "fleet.env"))
+	text, err := os.ReadFile(filepath.Join(f.dataDir, "fleet.env"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
 		name, value, _ := strings.Cut(line, "=")
-		f.facts[name] = strings.Trim(value, `"`)
+		f.environment[name] = strings.Trim(value, `"`)
 	}
 	return f
 }
 
-func (f *running) script(arguments ...string) (string, error) {
-	command := exec.Command("scripts/fleet", append(arguments, "--data", f.data)...)
+func (f *testFleet) runScript(arguments ...string) (string, error) {
+	command := exec.Command("scripts/fleet", append(arguments, "--data", f.dataDir)...)
 	command.Dir = root
 	output, err := command.CombinedOutput()
 	return string(output), err
 }
 
-func (f *running) must(arguments ...string) {
+func (f *testFleet) mustRunScript(arguments ...string) {
 	f.t.Helper()
-	if output, err := f.script(arguments...); err != nil {
+	if output, err := f.runScript(arguments...); err != nil {
 		f.t.Fatalf("scripts/fleet %v: %v\n%s", arguments, err, output)
 	}
 }
 
-// operator runs an operator's command.
-func (f *running) operator(arguments ...string) (string, error) {
+// runOperator runs a command of the operator's client.
+func (f *testFleet) runOperator(arguments ...string) (string, error) {
 	command := exec.Command("bin/kitetiller", arguments...)
 	command.Dir = root
-	command.Env = append(os.Environ(), "KITETILLER_CONTROL="+f.facts["CONTROL"], "KITETILLER_ADMIN_TOKEN="+f.facts["ADMIN_TOKEN"])
+	command.Env = append(os.Environ(), "KITETILLER_CONTROL="+f.environment["CONTROL"], "KITETILLER_ADMIN_TOKEN="+f.environment["ADMIN_TOKEN"])
 	output, err := command.CombinedOutput()
 	return string(output), err
 }
 
-// load is traffic in the background.
-type load struct {
+// loadRun is a load generator that runs in the background.
+type loadRun struct {
 	t       *testing.T
 	command *exec.Cmd
 	output  strings.Builder
 }
 
-func (f *running) startLoad(label string, extra ...string) *load {
+func (f *testFleet) startLoad(label string, extra ...string) *loadRun {
 	f.t.Helper()
-	l := &load{t: f.t}
-	arguments := append([]string{"load", "--deployment", "internal/lab/fleet/testdata/small.yaml", "--routers", f.facts["ROUTERS"],
-		"--keys", f.facts["API_KEY"] + "," + f.facts["API_KEY_2"], "--backends", f.facts["BACKENDS"], "--duration", "6s", "--rate", "25",
+	l := &loadRun{t: f.t}
+	arguments := append([]string{"load", "--deployment", "internal/lab/fleet/testdata/small.yaml", "--routers", f.environment["ROUTERS"],
+		"--keys", f.environment["API_KEY"] + "," + f.environment["API_KEY_2"], "--backends", f.environment["BACKENDS"], "--duration", "6s", "--rate", "25",
 		"--label", label}, extra...)
 	l.command = exec.Command("bin/kitelab", arguments...)
 	l.command.Dir = root
@@ -85,15 +85,15 @@
 	return l
 }
 
-// wait demands that the load saw nothing lost, doubled, out of order or wrong.
-func (l *load) wait() {
+// requireNoErrors waits for the end of the load and fails if a response was lost, duplicated, out of order or wrong.
+func (l *loadRun) requireNoErrors() {
 	l.t.Helper()
 	if err := l.command.Wait(); err != nil {
 		l.t.Fatalf("load: %v\n%s", err, l.output.String())
 	}
 }
 
-// TestProcessFailures repeats the main failures with real processes, one after the other on one fleet.
+// TestProcessFailures runs the main failure scenarios one after the other on one fleet of processes.
 func TestProcessFailures(t *testing.T) {
 	f := startFleet(t)
 	t.Run("planned stop of a router costs nothing", f.plannedStop)
@@ -103,70 +103,72 @@
 	t.Run("frozen router runs nothing twice", f.frozenRouter)
 	t.Run("killed leader loses no accepted change and doubles no run", f.killedLeader)
 	t.Run("wiped control replica is replaced", f.wipedControl)
-	t.Run("cut zone heals", f.cutZone)
-	t.Run("new weights are rolled out under load", f.newWeights)
-	t.Run("leaving engine gets nothing new", f.leavingEngine)
+	t.Run("cut zone heals", f.partitionedZone)
+	t.Run("new weights are rolled out under load", f.weightsRollout)
+	t.Run("leaving engine gets nothing new", f.drainingEngine)
 }
 
-func (f *running) on(t *testing.T) *running { return &running{t: t, data: f.data, facts: f.facts} }
+func (f *testFleet) forSubtest(t *testing.T) *testFleet {
+	return &testFleet{t: t, dataDir: f.dataDir, environment: f.environment}
+}
 
-func (f *running) plannedStop(t *testing.T) {
-	f = f.on(t)
+func (f *testFleet) plannedStop(t *testing.T) {
+	f = f.forSubtest(t)
 	l := f.startLoad("planned")
 	pause()
-	f.must("stop-one", "router-2")
-	l.wait()
-	f.must("restart", "router-2")
+	f.mustRunScript("stop-one", "router-2")
+	l.requireNoErrors()
+	f.mustRunScript("restart", "router-2")
 }
 
-func (f *running) killedRouter(t *testing.T) {
-	f = f.on(t)
+func (f *testFleet) killedRouter(t *testing.T) {
+	f = f.forSubtest(t)
 	l := f.startLoad("killed-router", "--allow-broken")
 	pause()
-	f.must("kill", "router-1")
-	f.must("restart", "router-1")
-	l.wait()
+	f.mustRunScript("kill", "router-1")
+	f.mustRunScript("restart", "router-1")
+	l.requireNoErrors()
 }
 
-func (f *running) killedEngine(t *testing.T) {
-	f = f.on(t)
+func (f *testFleet) killedEngine(t *testing.T) {
+	f = f.forSubtest(t)
 	l := f.startLoad("killed-engine")
 	pause()
-	f.must("kill", "llm-1")
-	f.must("restart", "llm-1")
-	f.must("kill", "llm-2")
-	f.must("restart", "llm-2")
-	l.wait()
+	f.mustRunScript("kill", "llm-1")
+	f.mustRunScript("restart", "llm-1")
+	f.mustRunScript("kill", "llm-2")
+	f.mustRunScript("restart", "llm-2")
+	l.requireNoErrors()
 }
 
-func (f *running) frozenEngine(t *testing.T) {
-	f = f.on(t)
+func (f *testFleet) frozenEngine(t *testing.T) {
+	f = f.forSubtest(t)
 	l := f.startLoad("frozen-engine")
 	pause()
-	f.must("freeze", "llm-3")
-	l.wait()
-	f.must("thaw", "llm-3")
+	f.mustRunScript("freeze", "llm-3")
+	l.requireNoErrors()
+	f.mustRunScript("thaw", "llm-3")
 }
 
-func (f *running) frozenRouter(t *testing.T) {
-	f = f.on(t)
+func (f *testFleet) frozenRouter(t *testing.T) {
+	f = f.forSubtest(t)
 	l := f.startLoad("frozen-router")
 	pause()
-	f.must("freeze", "router-3")
+	f.mustRunScript("freeze", "router-3")
 	for range 5 {
 		pause()
 	}
-	f.must("thaw", "router-3")
-	l.wait()
+	f.mustRunScript("thaw", "router-3")
+	l.requireNoErrors()
 }
 
 var leaderPattern = regexp.MustCompile(`(?m)"leader": "(control-\d)"`)
 
-// leader returns the name of the leading control replica.
-func (f *running) leader() string {
+// waitForLeader waits until a leader is known and returns its name.
+func (f *testFleet) waitForLeader() string {
 	f.t.Helper()
 	for range 100 {
-		output, err := f.operator("status", "--output", "json")
+		output, err := f.runOperator("status", "--output", "json")
 		if match := leaderPattern.FindStringSubmatch(output); err == nil && match != nil {
 			return match[1]
 		}
@@ -176,137 +178,139 @@
 	return ""
 }
 
-// members waits until a replica leads with a lease, and returns the members as it sees them. Others may still name an
-// earlier leader that has just been restarted.
-func (f *running) members() string {
+// waitForMembers waits until a replica leads with a lease and returns its member list. Polling the status isn't enough:
+// other replicas may still report an earlier leader that has just been restarted.
+func (f *testFleet) waitForMembers() string {
 	f.t.Helper()
 	for range 100 {
-		if output, err := f.operator("members"); err == nil {
+		if output, err := f.runOperator("members"); err == nil {
 			return output
 		}
 		pause()
 	}
-	f.t.Fatal("no replica leads")
+	f.t.Fatal("no leader answered the members command")
 	return ""
 }
 
-func (f *running) killedLeader(t *testing.T) {
-	f = f.on(t)
+func (f *testFleet) killedLeader(t *testing.T) {
+	f = f.forSubtest(t)
 	l := f.startLoad("killed-leader")
 	accepted := map[string]string{}
 	for i := range 30 {
 		if i == 5 || i == 15 {
-			leader := f.leader()
-			f.must("kill", leader)
-			defer f.must("restart", leader)
+			leader := f.waitForLeader()
+			f.mustRunScript("kill", leader)
+			defer f.mustRunScript("restart", leader)
 		}
 		if i == 10 {
-			f.must("restart", "control-1")
-			f.must("restart", "control-2")
-			f.must("restart", "control-3")
+			f.mustRunScript("restart", "control-1")
+			f.mustRunScript("restart", "control-2")
+			f.mustRunScript("restart", "control-3")
 		}
 		id := fmt.Sprintf("loop-%d", i)
-		if output, err := f.operator("config", "set", "/", "queue_limit", fmt.Sprint(600+i), "--operation-id", id); err == nil {
+		if output, err := f.runOperator("config", "set", "/", "queue_limit", fmt.Sprint(600+i), "--operation-id", id); err == nil {
 			accepted[id] = output
 		}
 	}
-	l.wait()
-	f.checkHistory(accepted)
+	l.requireNoErrors()
+	f.requireInHistory(accepted)
 }
 
-// checkHistory demands every accepted change in the history.
-func (f *running) checkHistory(accepted map[string]string) {
+// requireInHistory fails unless the settings history contains every accepted change.
+func (f *testFleet) requireInHistory(accepted map[string]string) {
 	f.t.Helper()
 	if len(accepted) == 0 {
-		f.t.Fatal("no change was accepted")
+		f.t.Fatal("no settings change was accepted")
 	}
-	output, err := f.operator("config", "history", "--output", "json")
+	output, err := f.runOperator("config", "history", "--output", "json")
 	if err != nil {
-		f.t.Fatalf("history: %v\n%s", err, output)
+		f.t.Fatalf("config history: %v\n%s", err, output)
 	}
 	var entries []struct {
 		OperationID string `json:"operation_id"`
 	}
 	if err := json.Unmarshal([]byte(output), &entries); err != nil {
-		f.t.Fatalf("history: %v\n%s", err, output)
+		f.t.Fatalf("decode config history: %v\n%s", err, output)
 	}
-	kept := map[string]bool{}
+	recorded := map[string]bool{}
 	for _, entry := range entries {
-		kept[entry.OperationID] = true
+		recorded[entry.OperationID] = true
 	}
 	for id, output := range accepted {
-		if !kept[id] {
-			f.t.Errorf("%s was accepted (%s) and is gone", id, strings.TrimSpace(output))
+		if !recorded[id] {
+			f.t.Errorf("operation %s was accepted (%s) but is missing from the history", id, strings.TrimSpace(output))
 		}
 	}
 }
 
-func (f *running) wipedControl(t *testing.T) {
-	f = f.on(t)
+func (f *testFleet) wipedControl(t *testing.T) {
+	f = f.forSubtest(t)
 	l := f.startLoad("wiped")
-	before := f.members()
-	leader := f.leader()
-	lost := regexp.MustCompile(leader + `-\w+`).FindString(before)
-	if lost == "" {
+	before := f.waitForMembers()
+	leader := f.waitForLeader()
+	wipedMember := regexp.MustCompile(leader + `-\w+`).FindString(before)
+	if wipedMember == "" {
 		t.Fatalf("%s is not among the members:\n%s", leader, before)
 	}
-	f.must("wipe", leader)
-	l.wait()
+	f.mustRunScript("wipe", leader)
+	l.requireNoErrors()
 	for range 50 {
-		if output, err := f.operator("members"); err == nil && strings.Count(output, "true") == 3 && !strings.Contains(output, lost) {
+		if output, err := f.runOperator("members"); err == nil && strings.Count(output, "true") == 3 && !strings.Contains(output, wipedMember) {
 			return
 		}
 		pause()
 	}
-	output, _ := f.operator("members")
+	output, _ := f.runOperator("members")
 	t.Fatalf("%s was not replaced:\n%s", leader, output)
 }
 
-func (f *running) cutZone(t *testing.T) {
-	f = f.on(t)
+func (f *testFleet) partitionedZone(t *testing.T) {
+	f = f.forSubtest(t)
 	l := f.startLoad("cut", "--allow-broken")
 	pause()
-	f.must("cut", "west")
+	f.mustRunScript("cut", "west")
 	for range 4 {
 		pause()
 	}
-	f.must("heal", "west")
-	l.wait()
+	f.mustRunScript("heal", "west")
+	l.requireNoErrors()
 }
 
-// newWeights changes the weights while requests run: no answer may be lost, and every engine must end with them.
-func (f *running) newWeights(t *testing.T) {
-	f = f.on(t)
+// weightsRollout changes the weights version under load: no response may be lost, and every engine must load the new
+// version.
+func (f *testFleet) weightsRollout(t *testing.T) {
+	f = f.forSubtest(t)
 	l := f.startLoad("weights")
 	pause()
-	if output, err := f.operator("config", "set", "/*/llm", "weights_version", "w2"); err != nil {
+	if output, err := f.runOperator("config", "set", "/*/llm", "weights_version", "w2"); err != nil {
 		t.Fatalf("%v\n%s", err, output)
 	}
-	l.wait()
+	l.requireNoErrors()
 	for range 50 {
-		output, err := f.operator("status", "--output", "json")
+		output, err := f.runOperator("status", "--output", "json")
 		if err == nil && strings.Count(output, `"weights": "w2"`) >= 6 && !strings.Contains(output, `"weights": "w1"`) {
 			return
 		}
 		pause()
 	}
-	output, _ := f.operator("status")
-	t.Fatalf("not every engine holds the new weights:\n%s", output)
+	output, _ := f.runOperator("status")
+	t.Fatalf("not every engine loaded the new weights:\n%s", output)
 }
 
-var leavingPattern = regexp.MustCompile(`"state": "leaving"`)
+var drainingPattern = regexp.MustCompile(`"state": "leaving"`)
 
-// leavingEngine marks an engine as leaving on the machine list; every router must see it so, and nothing is lost.
-func (f *running) leavingEngine(t *testing.T) {
-	f = f.on(t)
+// drainingEngine marks an engine as leaving in the machine list: every router must report that state and no response
+// may be lost.
+func (f *testFleet) drainingEngine(t *testing.T) {
+	f = f.forSubtest(t)
 	l := f.startLoad("leaving")
-	f.must("leave", "llm-4")
-	l.wait()
-	output, err := f.operator("status", "--output", "json", "--routers", strings.ReplaceAll(f.facts["ROUTERS"], " ", ","))
+	f.mustRunScript("leave", "llm-4")
+	l.requireNoErrors()
+	output, err := f.runOperator("status", "--output", "json", "--routers", strings.ReplaceAll(f.environment["ROUTERS"], " ", ","))
 	if err != nil {
 		t.Fatalf("%v\n%s", err, output)
 	}
-	if seen := len(leavingPattern.FindAllString(output, -1)); seen != 3 {
-		t.Fatalf("%d of 3 routers see the engine as leaving", seen)
+	if seen := len(drainingPattern.FindAllString(output, -1)); seen != 3 {
+		t.Fatalf("%d of 3 routers report the engine as leaving", seen)
 	}
 }
--- a/internal/lab/forms/forms.go
+++ b/internal/lab/forms/forms.go
@@ -1,7 +1,7 @@
-// Package forms checks that what builds write for each other stays readable.
+// Package forms checks that the JSON encoding of stored and sent types stays compatible between builds.
 //
-// Each form that is stored or sent has a golden file with every field set, which shows a change of any name, and one of the build in production beside
-// it: this build must know each of its fields, and keep it when it writes the form again.
+// Each type has a golden file with every field set, which reveals renamed keys. A second golden file holds the encoding
+// of the build in production: the current build must decode each of its fields and preserve it when encoding again.
 package forms
 
 import (
@@ -17,17 +17,18 @@
 )
 
 const (
-	folder = "testdata/forms"
-	// production is where the forms lie that the build in production writes.
-	production = folder + "/production"
-	suffix     = ".golden"
-	// deepest bounds how deep values are filled that hold others of their own type.
-	deepest = 12
-	// smallMost bounds whole numbers, so that they fit every kind of them.
-	smallMost = 99
+	fixtureDir = "testdata/forms"
+	// productionDir holds the golden files of the build in production.
+	productionDir = fixtureDir + "/production"
+	suffix        = ".golden"
+	// maxDepth limits the nesting of recursive types.
+	maxDepth = 12
+	// maxInteger limits generated integers, so that they fit every integer type.
+	maxInteger = 99
 )
 
-// Check checks the form of a type under a name. The file of the build in production may be missing: it didn't know the form then.
+// Check compares the encoding of T with the golden file of the given name and with that of the build in production,
+// which is missing if that build doesn't have the type.
 func Check[T any](t *testing.T, name string) {
 	t.Helper()
 	var full T
@@ -35,29 +36,29 @@
 	CheckValue(t, name, &full)
 }
 
-// CheckValue is Check of a value that was made otherwise, since its fields can't be set from outside.
+// CheckValue is like Check for a given value, for types whose fields can't be set by reflection.
 func CheckValue[T any](t *testing.T, name string, full *T) {
 	t.Helper()
-	text := written(t, full)
-	g := goldie.New(t, goldie.WithFixtureDir(folder), goldie.WithNameSuffix(suffix))
+	text := encode(t, full)
+	g := goldie.New(t, goldie.WithFixtureDir(fixtureDir), goldie.WithNameSuffix(suffix))
 	g.Assert(t, name, text)
-	known(t, name, text, new(T))
-	earlier, err := os.ReadFile(filepath.Join(production, name+suffix))
+	checkRoundTrip(t, name, text, new(T))
+	productionText, err := os.ReadFile(filepath.Join(productionDir, name+suffix))
 	if os.IsNotExist(err) {
 		return
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	known(t, name+" of the build in production", earlier, new(T))
+	checkRoundTrip(t, name+" of the build in production", productionText, new(T))
 }
 
-// known reads a form and checks that every field of it is known and written again.
-func known(t *testing.T, name string, text []byte, into any) {
+// checkRoundTrip decodes text into a value and checks that every field is known and is encoded again unchanged.
+func checkRoundTrip(t *testing.T, name string, text []byte, decoded any) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(decoded); err != nil {
 		t.Errorf("%s: %v", name, err)
 		return
 	}
@@ -65,15 +66,15 @@
 	if err := json.Unmarshal(text, &before); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(written(t, into), &after); err != nil {
+	if err := json.Unmarshal(encode(t, decoded), &after); err != nil {
 		t.Fatal(err)
 	}
-	if lost := missing("", before, after); lost != "" {
-		t.Errorf("%s: %s", name, lost)
+	if difference := firstDifference("", before, after); difference != "" {
+		t.Errorf("%s: %s", name, difference)
 	}
 }
 
-func written(t *testing.T, value any) []byte {
+func encode(t *testing.T, value any) []byte {
 	t.Helper()
 	text, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
@@ -82,52 +83,53 @@
 	return append(text, '\n')
 }
 
-// missing returns what of a JSON value another one lacks, or "".
-func missing(path string, value, other any) string {
+// firstDifference describes a part of a JSON value that is missing or different in another one, or returns "".
+// Additional map keys in other are ignored.
+func firstDifference(path string, value, other any) string {
 	switch typed := value.(type) {
 	case map[string]any:
-		held, _ := other.(map[string]any)
+		otherMap, _ := other.(map[string]any)
 		for key, item := range typed {
-			found, there := held[key]
-			if !there {
-				return path + "/" + key + " is lost"
+			otherItem, exists := otherMap[key]
+			if !exists {
+				return path + "/" + key + " is missing"
 			}
-			if lost := missing(path+"/"+key, item, found); lost != "" {
-				return lost
+			if difference := firstDifference(path+"/"+key, item, otherItem); difference != "" {
+				return difference
 			}
 		}
 		return ""
 	case []any:
-		held, _ := other.([]any)
-		if len(held) != len(typed) {
-			return path + " has another length"
+		otherItems, _ := other.([]any)
+		if len(otherItems) != len(typed) {
+			return path + " differs in length"
 		}
 		for i, item := range typed {
-			if lost := missing(fmt.Sprint(path, "/", i), item, held[i]); lost != "" {
-				return lost
+			if difference := firstDifference(fmt.Sprint(path, "/", i), item, otherItems[i]); difference != "" {
+				return difference
 			}
 		}
 		return ""
 	}
 	if !reflect.DeepEqual(value, other) {
-		return fmt.Sprintf("%s was %v and is %v", path, value, other)
+		return fmt.Sprintf("%s: want %v, got %v", path, value, other)
 	}
 	return ""
 }
 
-// filler sets values, each another one.
+// filler sets fields to distinct non-zero values.
 type filler struct{ count int }
 
 var (
-	rawJSON = reflect.TypeFor[json.RawMessage]()
+	rawMessageType = reflect.TypeFor[json.RawMessage]()
 )
 
 func (f *filler) fill(value reflect.Value, depth int) {
-	if !value.CanSet() || depth > deepest {
+	if !value.CanSet() || depth > maxDepth {
 		return
 	}
 	f.count++
-	if value.Type() == rawJSON {
+	if value.Type() == rawMessageType {
 		value.SetBytes([]byte(fmt.Sprint(f.count)))
 		return
 	}
@@ -135,9 +137,9 @@
 	case reflect.Bool:
 		value.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		value.SetInt(int64(f.count%smallMost) + 1)
+		value.SetInt(int64(f.count%maxInteger) + 1)
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		value.SetUint(uint64(f.count%smallMost) + 1)
+		value.SetUint(uint64(f.count%maxInteger) + 1)
 	case reflect.Float32, reflect.Float64:
 		value.SetFloat(float64(f.count) + 0.5)
 	case reflect.String:
@@ -167,7 +169,8 @@
 	value.SetMapIndex(key, item)
 }
 
-// fillStruct sets the fields that are written. A type that writes itself and has nothing to set from outside stays as it is.
+// fillStruct sets the fields that are encoded. Types with only unexported fields, such as those with their own
+// marshaler, are left unchanged.
 func (f *filler) fillStruct(value reflect.Value, depth int) {
 	for i := range value.NumField() {
 		field := value.Type().Field(i)
--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -11,183 +11,183 @@
 )
 
 const (
-	requestGap     = 140 * time.Millisecond // mean
-	smallShare     = 0.4
-	templates      = 4 // shared by all tenants, text for text
-	templateBlocks = 4
-	streamSends    = 4
-	smallSends     = 6
-	patience       = 45 * time.Second
-	impatientShare = 0.08 // callers who send again while they wait
-	hangUpShare    = 0.02
-	testDigest     = 7
+	meanRequestInterval = 140 * time.Millisecond // mean of the exponential distribution
+	serviceRequestRatio = 0.4
+	templates           = 4 // prompt templates that all tenants use
+	templateBlocks      = 4
+	maxModelSends       = 4
+	maxServiceSends     = 6
+	callerTimeout       = 45 * time.Second
+	earlyRetryRatio     = 0.08 // fraction of service requests that are retried before the first try is answered
+	disconnectRatio     = 0.02
+	requestDigest       = 7
 )
 
 var tenants = []string{"amber", "birch", "cedar"}
 
-// job is what one caller wants.
+// job is one caller's unit of work; it may be sent several times.
 type job struct {
 	w         *world
 	name      string
 	tenant    string
-	small     bool
-	segments  []string // texts of the prompt's blocks
+	toService bool
+	segments  []string // prompt text, one element per block
 	maxTokens int
 	sends     int
 	done      bool
 }
 
-// token is the text of one token of the job's answer.
+// token returns the expected text of the generated token at index.
 func (j *job) token(index int) string { return fmt.Sprintf("%s:%d", j.name, index) }
 
-// answer is the whole answer of a small service.
-func (j *job) answer() string { return "done " + j.name }
+// responseBody returns the expected response body of a service job.
+func (j *job) responseBody() string { return "done " + j.name }
 
-func (j *job) content(weights string, block int) content {
-	return content{tenant: j.tenant, weights: weights, text: j.segments[block]}
+func (j *job) content(weights string, block int) blockContent {
+	return blockContent{tenant: j.tenant, weights: weights, text: j.segments[block]}
 }
 
-// exchange is one send of a job to one router.
+// exchange is one request of a job to one router.
 type exchange struct {
 	job        *job
 	id         core.RequestID
 	router     *routerNode
 	toCaller   *stream
-	next       int // token that the caller expects
+	nextToken  int // index of the next token that the caller expects
 	resumeFrom int
-	over       bool
-	ran        bool // a back end took it
+	finished   bool
+	executed   bool // accepted by a back end
 }
 
-func (e *exchange) promptTokens() int { return len(e.job.segments)*blockToken + 1 }
+func (e *exchange) promptTokens() int { return len(e.job.segments)*tokensPerBlock + 1 }
 
-// callers are everybody who sends requests.
+// callers generates all client traffic.
 type callers struct {
 	*process
-	numbers int
-	hot     int // raised when other templates become hot
-	open    []*exchange
+	jobCount          int
+	hotTemplateOffset int // increased by a fault to shift the popular templates
+	exchanges         []*exchange
 }
 
 func (c *callers) boot() {
 	c.start()
-	c.after(2*time.Second, c.arrive)
+	c.after(2*time.Second, c.sendJobs)
 }
 
-func (c *callers) arrive() {
+func (c *callers) sendJobs() {
 	if c.w.now() > activeTime {
 		return
 	}
 	c.sendAnywhere(c.newJob(), 0)
-	c.after(time.Duration(c.w.random.ExpFloat64()*float64(requestGap)), c.arrive)
+	c.after(time.Duration(c.w.random.ExpFloat64()*float64(meanRequestInterval)), c.sendJobs)
 }
 
 func (c *callers) newJob() *job {
-	c.numbers++
-	fresh := &job{w: c.w, name: fmt.Sprintf("q%d", c.numbers), tenant: pick(c.w, tenants), small: c.w.chance(smallShare)}
-	if fresh.small {
-		return fresh
+	c.jobCount++
+	created := &job{w: c.w, name: fmt.Sprintf("q%d", c.jobCount), tenant: pick(c.w, tenants), toService: c.w.chance(serviceRequestRatio)}
+	if created.toService {
+		return created
 	}
-	template := (c.hot + c.w.random.IntN(templates)*c.w.random.IntN(2)) % (templates * 4)
+	template := (c.hotTemplateOffset + c.w.random.IntN(templates)*c.w.random.IntN(2)) % (templates * 4)
 	for block := range templateBlocks {
-		fresh.segments = append(fresh.segments, segment(fmt.Sprintf("template %d", template), block))
+		created.segments = append(created.segments, segment(fmt.Sprintf("template %d", template), block))
 	}
 	document := c.w.random.IntN(30)
 	for block := range 1 + c.w.random.IntN(5) {
-		fresh.segments = append(fresh.segments, segment(fmt.Sprintf("document %d", document), block))
+		created.segments = append(created.segments, segment(fmt.Sprintf("document %d", document), block))
 	}
-	fresh.maxTokens = 2 + c.w.random.IntN(8)
-	return fresh
+	created.maxTokens = 2 + c.w.random.IntN(8)
+	return created
 }
 
-// segment is the text of one block.
+// segment returns the text of one block, padded to the block size.
 func segment(label string, block int) string {
-	const size = blockToken * prefix.BytesPerToken
+	const size = tokensPerBlock * prefix.BytesPerToken
 	text := fmt.Sprintf("%s block %d", label, block)
 	return text + strings.Repeat(".", size-len(text))
 }
 
-// sendAnywhere sends a job to a router that takes connections; callers reach every zone.
+// sendAnywhere sends a job to a random router in any zone.
 func (c *callers) sendAnywhere(j *job, resumeFrom int) {
 	c.sendTo(j, pick(c.w, c.w.routers), resumeFrom)
 }
 
-// sendTo sends a job to one router.
+// sendTo sends a job to the given router and schedules the caller's early retry, timeout and disconnect.
 func (c *callers) sendTo(j *job, router *routerNode, resumeFrom int) {
 	j.sends++
-	run := &exchange{job: j, router: router, next: resumeFrom, resumeFrom: resumeFrom}
+	ex := &exchange{job: j, router: router, nextToken: resumeFrom, resumeFrom: resumeFrom}
 	c.w.oracle.requests++
 	if !router.up {
-		c.after(refusalDelay, func() { c.again(run, 100*time.Millisecond) })
+		c.after(refusedCallDelay, func() { c.retry(ex, 100*time.Millisecond) })
 		return
 	}
-	run.toCaller = c.w.newStream(router.process, c.process)
-	router.connect(run)
-	c.open = append(c.open, run)
-	life := router.life
+	ex.toCaller = c.w.newStream(router.process, c.process)
+	router.trackConnection(ex)
+	c.exchanges = append(c.exchanges, ex)
+	incarnation := router.generation
 	c.w.after(c.w.latency(c.process, router.process), func() {
-		router.run(life, func() { router.arrive(run) })
+		router.run(incarnation, func() { router.acceptRequest(ex) })
 	})
-	if j.small && c.w.chance(impatientShare) && j.sends < smallSends {
+	if j.toService && c.w.chance(earlyRetryRatio) && j.sends < maxServiceSends {
 		c.after(c.w.between(20*time.Millisecond, time.Second), func() { c.sendAnywhere(j, 0) })
 	}
-	c.after(patience, func() { c.hangUp(run) })
-	if !j.small && c.w.chance(hangUpShare) {
-		c.after(c.w.between(0, time.Second), func() { c.hangUp(run) })
+	c.after(callerTimeout, func() { c.disconnect(ex) })
+	if !j.toService && c.w.chance(disconnectRatio) {
+		c.after(c.w.between(0, time.Second), func() { c.disconnect(ex) })
 	}
 }
 
-// arrive gives a new request to the core.
-func (r *routerNode) arrive(run *exchange) {
+// acceptRequest registers a new request and passes it to the core.
+func (r *routerNode) acceptRequest(ex *exchange) {
 	r.nextID++
-	run.id = r.nextID
-	r.waiting[run.id] = run
+	ex.id = r.nextID
+	r.exchanges[ex.id] = ex
 	request := core.Request{
-		ID: run.id, Name: run.job.name, Tenant: run.job.tenant, Service: modelService, PromptTokens: run.promptTokens(),
-		MaxTokens: run.job.maxTokens, ResumeFrom: run.resumeFrom,
+		ID: ex.id, Name: ex.job.name, Tenant: ex.job.tenant, Service: modelService, PromptTokens: ex.promptTokens(),
+		MaxTokens: ex.job.maxTokens, ResumeFrom: ex.resumeFrom,
 	}
-	if run.job.small {
-		request.Service, request.Key, request.Digest, request.PromptTokens = smallService, run.job.name, testDigest, 1
+	if ex.job.toService {
+		request.Service, request.Key, request.Digest, request.PromptTokens = smallService, ex.job.name, requestDigest, 1
 	} else {
-		text := []byte(strings.Join(run.job.segments, ""))
+		text := []byte(strings.Join(ex.job.segments, ""))
 		for _, weights := range r.core.WeightsInUse(modelService) {
-			request.Chains = append(request.Chains, core.Chain{Weights: weights, Blocks: r.w.hasher.Chain(run.job.tenant, weights, text)})
+			request.Chains = append(request.Chains, core.Chain{Weights: weights, Blocks: r.w.hasher.Chain(ex.job.tenant, weights, text)})
 		}
 	}
 	r.post(core.EventRequest{Request: request})
 }
 
-// hangUp ends an exchange that the caller no longer waits for.
-func (c *callers) hangUp(run *exchange) {
-	if run.over {
+// disconnect closes the caller's connection of an unfinished exchange.
+func (c *callers) disconnect(ex *exchange) {
+	if ex.finished {
 		return
 	}
-	run.over = true
-	run.toCaller.closed = true
-	run.router.run(run.toCaller.fromLife, func() {
-		if run.router.waiting[run.id] == run {
-			delete(run.router.waiting, run.id)
-			run.router.post(core.EventCallerGone{ID: run.id})
+	ex.finished = true
+	ex.toCaller.closed = true
+	ex.router.run(ex.toCaller.fromGeneration, func() {
+		if ex.router.exchanges[ex.id] == ex {
+			delete(ex.router.exchanges, ex.id)
+			ex.router.post(core.EventCallerGone{ID: ex.id})
 		}
 	})
-	if run.job.small {
-		c.again(run, 100*time.Millisecond)
+	if ex.job.toService {
+		c.retry(ex, 100*time.Millisecond)
 	}
 }
 
-// again sends a job once more, unless it has been sent often enough.
-func (c *callers) again(run *exchange, after time.Duration) {
-	j := run.job
-	limit := streamSends
-	if j.small {
-		limit = smallSends
+// retry schedules another send of the job, up to the maximum number of sends.
+func (c *callers) retry(ex *exchange, after time.Duration) {
+	j := ex.job
+	limit := maxModelSends
+	if j.toService {
+		limit = maxServiceSends
 	}
 	if j.done || j.sends >= limit || c.w.now() > activeTime+settleTime/3 {
 		return
 	}
 	resume := 0
-	if !j.small && c.w.chance(0.5) {
-		resume = run.next
+	if !j.toService && c.w.chance(0.5) {
+		resume = ex.nextToken
 	}
 	c.after(after+c.w.between(0, 300*time.Millisecond), func() {
 		if !j.done {
@@ -196,51 +196,51 @@
 	})
 }
 
-// chunk sends a token to the caller, who checks it.
-func (e *exchange) chunk(action core.ActionChunk) {
+// deliverChunk delivers a token to the caller, where the oracle checks it.
+func (e *exchange) deliverChunk(action core.ActionChunk) {
 	e.toCaller.send(func() {
-		if e.over {
+		if e.finished {
 			return
 		}
-		e.job.w.oracle.callerGot(e, action)
-		e.next++
+		e.job.w.oracle.callerReceived(e, action)
+		e.nextToken++
 	})
 }
 
-// final sends the final answer to the caller, who checks it and may send again.
-func (e *exchange) final(action core.ActionFinish) {
+// deliverFinal delivers the final response to the caller, where the oracle checks it. A failed job may be retried.
+func (e *exchange) deliverFinal(action core.ActionFinish) {
 	e.toCaller.send(func() {
-		if e.over {
+		if e.finished {
 			return
 		}
-		e.over = true
+		e.finished = true
 		w := e.job.w
 		w.oracle.callerFinished(e, action)
 		if action.Reason == core.ReasonComplete || action.Reason == core.ReasonReplayed {
 			e.job.done = true
 			return
 		}
-		w.logf("%s at %s refused as %s, run=%s", e.job.name, e.router.name, action.Reason, action.Run)
-		w.callers.again(e, max(action.RetryAfter, 50*time.Millisecond))
+		w.logf("%s at %s rejected as %s, run=%s", e.job.name, e.router.name, action.Reason, action.Run)
+		w.callers.retry(e, max(action.RetryAfter, 50*time.Millisecond))
 	})
 }
 
-func (e *exchange) ended() bool { return e.over }
+func (e *exchange) ended() bool { return e.finished }
 
-// reset tells the caller that the connection died.
+// reset notifies the caller that the connection broke.
 func (e *exchange) reset() {
 	e.toCaller.send(func() {
-		if e.over {
+		if e.finished {
 			return
 		}
-		e.over = true
+		e.finished = true
 		e.job.w.logf("%s at %s: connection broken", e.job.name, e.router.name)
-		e.job.w.callers.again(e, 50*time.Millisecond)
+		e.job.w.callers.retry(e, 50*time.Millisecond)
 	})
 }
 
-// answerOf returns the body of a stored answer.
-func answerOf(answer *ledger.Response) string {
+// bodyOf returns the body of a stored response, or "" for none.
+func bodyOf(answer *ledger.Response) string {
 	if answer == nil {
 		return ""
 	}
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -14,115 +14,115 @@
 )
 
 const (
-	groupSize     = 3
-	heartbeat     = 100 * time.Millisecond
-	repairAfter   = 4 * time.Second
-	settingsLease = 2 * time.Second
-	snapshotEvery = 150
-	enginePoll    = 300 * time.Millisecond
-	pollTimeout   = 500 * time.Millisecond
-	joinPeriod    = 400 * time.Millisecond
-	wallStart     = 1_700_000_000_000 // ms
-	lateSyncMin   = 20 * time.Millisecond
-	lateSyncMax   = 400 * time.Millisecond
-	relayTimeout  = 400 * time.Millisecond
+	groupSize          = 3
+	raftHeartbeat      = 100 * time.Millisecond
+	repairAfter        = 4 * time.Second
+	settingsLease      = 2 * time.Second
+	snapshotEvery      = 150
+	enginePollInterval = 300 * time.Millisecond
+	pollTimeout        = 500 * time.Millisecond
+	joinInterval       = 400 * time.Millisecond
+	wallStart          = 1_700_000_000_000 // Unix ms at virtual time 0
+	lateSyncMin        = 20 * time.Millisecond
+	lateSyncMax        = 400 * time.Millisecond
+	relayTimeout       = 400 * time.Millisecond
 )
 
 var controlTiming = consensus.Timing{
-	Heartbeat: heartbeat, ElectionMin: 7 * heartbeat, ElectionMax: 14 * heartbeat, Lease: 5 * heartbeat,
+	Heartbeat: raftHeartbeat, ElectionMin: 7 * raftHeartbeat, ElectionMax: 14 * raftHeartbeat, Lease: 5 * raftHeartbeat,
 }
 
-// controlNode is a control replica with its disk.
+// controlNode is a simulated control replica and its disk.
 type controlNode struct {
 	*process
 	disk      control.Checkpoint
 	identity  control.Identity
-	folders   int // data folders it has had
+	dataDirs  int // number of data directories used so far
 	replica   *control.Replica
 	startedAt time.Duration
-	build     level.Level // that it runs, or that it starts as if keepsBuild is set
+	build     level.Level // current build; the next start uses it if keepBuild is set
 	wallSkew  time.Duration
 
-	stallsTo time.Duration     // no write ends before
-	syncing  *control.Persist  // being written
-	unsynced []control.Persist // acknowledged before the sync; only without the guard
-	inbox    []func()          // arrived during a sync
-	alarm    vtime.Alarm
-	clients  map[uint64]func(control.Response)
-	nextID   uint64
-	joining  *asker
+	diskStalledUntil time.Duration     // no write completes before this time
+	syncing          *control.Persist  // write in progress
+	unsynced         []control.Persist // acknowledged before they were synced; only with SyncBeforeAck off
+	deferredInputs   []func()          // inputs that arrived during a sync
+	wakeup           vtime.Alarm
+	clients          map[uint64]func(control.Response)
+	nextID           uint64
+	joinClient       *controlClient
 
-	keepsBuild bool // its next start takes this build again
+	keepBuild bool // the next start uses the same build
 }
 
 func (n *controlNode) clock() time.Duration { return n.elapsed(n.startedAt, n.w.now()) }
 
 func (n *controlNode) unixMS() int64 { return wallStart + (n.w.now() + n.wallSkew).Milliseconds() }
 
-// newFolder makes the disk empty; the replica then has a new identity.
-func (n *controlNode) newFolder() {
-	n.folders++
+// newDataDir replaces the data directory by an empty one and gives the replica a new identity.
+func (n *controlNode) newDataDir() {
+	n.dataDirs++
 	n.disk = control.Checkpoint{}
-	n.identity = control.NewIdentity(n.name, fmt.Sprint(n.folders), n.w.guards)
+	n.identity = control.NewIdentity(n.name, fmt.Sprint(n.dataDirs), n.w.guards)
 }
 
 func (n *controlNode) member() consensus.Member {
 	return consensus.Member{ID: n.identity.ID, Name: n.name, Address: n.name}
 }
 
-// boot starts the process from its disk.
+// boot starts the process from the state on its disk.
 func (n *controlNode) boot() {
 	n.start()
 	n.startedAt = n.w.now()
-	n.syncing, n.unsynced, n.inbox = nil, nil, nil
+	n.syncing, n.unsynced, n.deferredInputs = nil, nil, nil
 	n.clients = map[uint64]func(control.Response){}
-	n.alarm = vtime.Alarm{}
-	n.joining = newAsker(n.w, n.process)
-	if !n.keepsBuild {
+	n.wakeup = vtime.Alarm{}
+	n.joinClient = newControlClient(n.w, n.process)
+	if !n.keepBuild {
 		n.build = n.w.drawBuild()
 	}
-	n.keepsBuild = false
+	n.keepBuild = false
 	config := control.Config{
 		Level: n.build,
 		ID:    n.identity.ID, Name: n.name, Address: n.name, Timing: controlTiming, Replicas: groupSize,
 		SettingsLease: settingsLease, RepairAfter: repairAfter, SnapshotEvery: snapshotEvery,
-		OrderWait: fleetOrderWait, GatewayTrust: fleetTrust, Zone: n.zone, MaxDirectGateways: n.w.relayAbove(),
+		WeightsOrderDelay: fleetOrderDelay, GatewayViewTTL: fleetViewTTL, Zone: n.zone, MaxDirectGateways: n.w.maxDirectGateways(),
 		Guards: n.w.guards, Random: n.w.random.Int64N,
 	}
 	replica, err := control.NewReplica(config, cloneCheckpoint(n.disk), 0)
 	if errors.Is(err, level.ErrTooOld) {
-		n.replaceTooOld(err)
+		n.restartWithNewBuild(err)
 		return
 	}
 	if err != nil {
-		panic("sim: disk of " + n.name + " cannot be read: " + err.Error())
+		panic("sim: cannot restore " + n.name + " from its disk: " + err.Error())
 	}
 	n.replica = replica
 	n.w.logf("%s starts as %s at entry %d", n.name, n.identity.ID, replica.Node().LastIndex())
-	n.ticker(enginePoll, n.pollEngines)
-	n.ticker(joinPeriod, n.joinGroup)
-	n.pump()
+	n.ticker(enginePollInterval, n.pollEngines)
+	n.ticker(joinInterval, n.joinGroup)
+	n.advance()
 }
 
-// cloneCheckpoint copies what a replica may append to.
+// cloneCheckpoint copies the entries, as the replica may append to the slice.
 func cloneCheckpoint(disk control.Checkpoint) control.Checkpoint {
 	disk.Entries = slices.Clone(disk.Entries)
 	return disk
 }
 
-// die ends the process. A write that was not synced survives in part, or not at all.
-func (n *controlNode) die(silent bool) {
+// crash ends the process. A write that was not synced is lost in part or whole.
+func (n *controlNode) crash(silent bool) {
 	if n.syncing != nil {
-		n.tear(*n.syncing)
+		n.storePartially(*n.syncing)
 	}
 	n.syncing, n.unsynced = nil, nil
 	n.kill(silent)
 }
 
-// tear keeps a part of an interrupted write: whole records from its start.
-func (n *controlNode) tear(persist control.Persist) {
+// storePartially stores a random prefix of the entries of an interrupted write.
+func (n *controlNode) storePartially(persist control.Persist) {
 	if persist.Checkpoint != nil || n.w.chance(0.3) {
-		return // a checkpoint replaces the folder only when it is complete
+		return // checkpoints are written atomically
 	}
 	persist.Entries = persist.Entries[:n.w.random.IntN(len(persist.Entries)+1)]
 	n.store(persist)
@@ -130,22 +130,22 @@
 
 func (n *controlNode) store(persist control.Persist) {
 	if err := n.disk.Apply(persist); err != nil {
-		panic("sim: " + n.name + " wrote what cannot be stored: " + err.Error())
+		panic("sim: cannot apply a write to the disk of " + n.name + ": " + err.Error())
 	}
 }
 
-// input passes something to the replica, after the sync in progress.
-func (n *controlNode) input(do func()) {
+// handleInput runs do on the replica, deferred until a sync in progress has completed.
+func (n *controlNode) handleInput(do func()) {
 	if n.syncing != nil {
-		n.inbox = append(n.inbox, do)
+		n.deferredInputs = append(n.deferredInputs, do)
 		return
 	}
 	do()
-	n.pump()
+	n.advance()
 }
 
-// pump lets the replica work until it waits for a sync or for time.
-func (n *controlNode) pump() {
+// advance runs the replica until it waits for a sync or a timer.
+func (n *controlNode) advance() {
 	n.replica.Tick(n.clock(), n.unixMS())
 	for n.replica.HasWork() {
 		persist := n.replica.Prepare()
@@ -154,54 +154,55 @@
 			return
 		}
 		if !persist.Empty() {
-			n.syncLate(persist)
+			n.storeAfterAck(persist)
 		}
 		n.send(n.replica.Advance(n.clock()))
 	}
 	if n.checkBuild(); n.up {
-		n.setWake()
+		n.scheduleWakeup()
 	}
 }
 
-// beginSync writes; the replica goes on when the write is synced.
+// beginSync starts a write; the replica resumes when it is synced.
 func (n *controlNode) beginSync(persist control.Persist) {
 	n.syncing = &persist
-	if n.w.mischief.stallsOrder && n.replica.PendingWeightsCalls() > 0 {
-		n.w.mischief.stallsOrder = false
+	if n.w.pending.stallDiskOnOrder && n.replica.PendingWeightsCalls() > 0 {
+		n.w.pending.stallDiskOnOrder = false
 		n.stallDisk(n.w.between(3*time.Second, 6*time.Second))
 	}
-	delay := max(n.w.between(500*time.Microsecond, 6*time.Millisecond), n.stallsTo-n.w.now())
+	delay := max(n.w.between(500*time.Microsecond, 6*time.Millisecond), n.diskStalledUntil-n.w.now())
 	n.after(delay, func() {
 		n.store(persist)
 		n.syncing = nil
 		n.send(n.replica.Advance(n.clock()))
-		waiting := n.inbox
-		n.inbox = nil
-		for _, do := range waiting {
-			n.input(do)
+		inputs := n.deferredInputs
+		n.deferredInputs = nil
+		for _, do := range inputs {
+			n.handleInput(do)
 		}
 		if n.syncing == nil {
-			n.pump()
+			n.advance()
 		}
 	})
 }
 
-// syncLate stores after the acknowledgement has left. A write that then doesn't fit the disk any more loses what was acknowledged.
-func (n *controlNode) syncLate(persist control.Persist) {
+// storeAfterAck stores a write after it has been acknowledged. If the write then no longer applies, acknowledged
+// data is lost, which is a violation.
+func (n *controlNode) storeAfterAck(persist control.Persist) {
 	n.unsynced = append(n.unsynced, persist)
 	n.after(n.w.between(lateSyncMin, lateSyncMax), func() {
 		if err := n.disk.Apply(n.unsynced[0]); err != nil {
-			n.w.oracle.fail(SettingsHold, "%s acknowledged what it then couldn't store: %v", n.name, err)
+			n.w.oracle.fail(SettingsDurable, "%s acknowledged a write that it could not store: %v", n.name, err)
 		}
 		n.unsynced = n.unsynced[1:]
 	})
 }
 
-func (n *controlNode) setWake() {
+func (n *controlNode) scheduleWakeup() {
 	due := n.trueTime(n.startedAt, n.replica.NextDue())
-	n.alarm.Set(n.w.now(), due, time.Millisecond, n.after, func() {
+	n.wakeup.Set(n.w.now(), due, time.Millisecond, n.after, func() {
 		if n.syncing == nil {
-			n.pump()
+			n.advance()
 		}
 	})
 }
@@ -228,10 +229,10 @@
 	}
 }
 
-// askLeader passes a question for gateways on.
+// askLeader forwards a gateway's request to the leader.
 func (n *controlNode) askLeader(call control.RelayCall) {
 	number := call.Request.Number
-	failed := func(bool) { n.input(func() { n.replica.ObserveRelay(n.clock(), number, nil) }) }
+	failed := func(bool) { n.handleInput(func() { n.replica.ObserveRelay(n.clock(), number, nil) }) }
 	for _, peer := range n.w.controls {
 		if peer.name != call.Address {
 			continue
@@ -239,7 +240,7 @@
 		n.w.call(n.process, peer.process, relayTimeout, func(respond func(func())) {
 			peer.handle(control.Request{Relay: &call.Request}, func(response control.Response) {
 				respond(func() {
-					n.input(func() { n.replica.ObserveRelay(n.clock(), number, response.Relayed) })
+					n.handleInput(func() { n.replica.ObserveRelay(n.clock(), number, response.Relayed) })
 				})
 			})
 		}, failed)
@@ -254,65 +255,65 @@
 		if peer.identity.ID == message.To {
 			n.w.message(n.process, peer.process, func() {
 				if peer.identity.ID == message.To {
-					peer.input(func() { peer.replica.Step(peer.clock(), message) })
+					peer.handleInput(func() { peer.replica.Step(peer.clock(), message) })
 				}
 			})
 		}
 	}
 }
 
-// sendCall passes an order to an engine; some take long on their way.
-func (n *controlNode) sendCall(order control.EngineCall) {
-	target := n.w.engine(order.Engine)
+// sendCall sends a call to an engine, some of them after a random delay.
+func (n *controlNode) sendCall(call control.EngineCall) {
+	target := n.w.engine(call.Engine)
 	delay := time.Duration(0)
 	if n.w.chance(0.15) {
 		delay = n.w.between(0, 5*time.Second)
 	}
-	if order.Order != nil {
-		delay = max(delay, n.w.mischief.orderLeaves(n))
+	if call.Order != nil {
+		delay = max(delay, n.w.pending.delayOrder(n))
 	}
 	from := n.process
-	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.order(order) }) })
+	n.w.after(delay, func() { n.w.message(from, target.process, func() { target.handleCall(call) }) })
 }
 
-// handle takes a client's request.
+// handle passes a client's request to the replica.
 func (n *controlNode) handle(request control.Request, answer func(control.Response)) {
-	n.input(func() {
+	n.handleInput(func() {
 		n.nextID++
 		n.clients[n.nextID] = answer
 		n.replica.Handle(n.clock(), n.nextID, request)
 	})
 }
 
-func (n *controlNode) leads() bool { return n.replica.Node().Role() == consensus.Leader }
+func (n *controlNode) isLeader() bool { return n.replica.Node().Role() == consensus.Leader }
 
-// pollEngines reads the engines' weights and fences while this replica leads.
+// pollEngines polls the weights and fences of the engines while this replica is the leader.
 func (n *controlNode) pollEngines() {
-	if !n.leads() {
+	if !n.isLeader() {
 		return
 	}
 	for _, target := range n.w.engines {
 		n.w.call(n.process, target.process, pollTimeout, func(respond func(func())) {
 			report := target.controlReport()
-			respond(func() { n.input(func() { n.replica.ObserveEngineReport(n.clock(), report) }) })
+			respond(func() { n.handleInput(func() { n.replica.ObserveEngineReport(n.clock(), report) }) })
 		}, func(bool) {})
 	}
 }
 
-// joinGroup asks to become a learner while no leader is known: the folder may be empty, or the group may have replaced this
-// replica while it was away. For a member it changes nothing.
+// joinGroup requests to join as a learner while no leader is known: the data directory may be empty, or the group
+// may have replaced this replica while it was down. For a member the request has no effect.
 func (n *controlNode) joinGroup() {
 	if n.replica.Node().LastIndex() > 0 && !n.replica.Node().LeaderSilent(n.clock()) {
 		return
 	}
 	self := n.member()
-	n.joining.once(control.Request{Join: &self}, pollTimeout, func(control.Response, bool) {})
+	n.joinClient.askOnce(control.Request{Join: &self}, pollTimeout, func(control.Response, bool) {})
 }
 
-// found makes the first replicas: one voter, which the others join, as the processes do.
-func (w *world) found() {
+// createGroup boots the control replicas: the first bootstraps a group of one voter, which the others join.
+func (w *world) createGroup() {
 	for _, n := range w.controls {
-		n.newFolder()
+		n.newDataDir()
 	}
 	first := w.controls[0]
 	first.disk = control.BootstrapState(first.member())
@@ -321,11 +322,11 @@
 	}
 }
 
-// leader returns the live replica that leads in the highest term, or nil.
+// leader returns the running leader with the highest term, or nil.
 func (w *world) leader() *controlNode {
 	var best *controlNode
 	for _, n := range w.controls {
-		if n.up && !n.frozen && n.leads() && (best == nil || n.replica.Node().Term() > best.replica.Node().Term()) {
+		if n.up && !n.frozen && n.isLeader() && (best == nil || n.replica.Node().Term() > best.replica.Node().Term()) {
 			best = n
 		}
 	}
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -12,116 +12,117 @@
 )
 
 const (
-	modelService  = "llm"
-	weightsLoad   = 400 * time.Millisecond
-	loadsAtOnce   = 2
-	cacheBlocks   = 120
-	eventLoss     = 0.03
-	mischiefShare = 0.15
+	modelService       = "llm"
+	weightsLoadTime    = 400 * time.Millisecond
+	maxConcurrentLoads = 2
+	cacheBlocks        = 120
+	eventLossRatio     = 0.03
+	streamFaultRatio   = 0.15
 )
 
-// simRates are small and slow, so that a run needs few events.
+// simRates returns low rates and small limits, to keep the number of simulated events small.
 func simRates() engine.Rates {
 	rates := engine.DefaultRates()
-	rates.PrefillTokens, rates.ImportTokens = 400, 4000
+	rates.PrefillTokensPerSecond, rates.ImportTokensPerSecond = 400, 4000
 	rates.DecodeStep, rates.DecodePerSeq = 40*time.Millisecond, time.Millisecond
 	rates.ChunkTokens, rates.MaxBatch = 64, 8
-	rates.CacheBlocks, rates.CacheIdle = cacheBlocks, 8*time.Second
-	rates.EventLag, rates.EventLoss, rates.LoadLag = 200*time.Millisecond, eventLoss, 200*time.Millisecond
+	rates.CacheBlocks, rates.CacheIdleTimeout = cacheBlocks, 8*time.Second
+	rates.EventLag, rates.EventLossRatio, rates.LoadLag = 200*time.Millisecond, eventLossRatio, 200*time.Millisecond
 	return rates
 }
 
-// content is what a cached block was computed from.
-type content struct {
+// blockContent identifies the input that a cached block was computed from.
+type blockContent struct {
 	tenant, weights, text string
 }
 
-// engineNode is a model engine. cached is the oracle's record of what each block of this life really holds.
+// engineNode is a simulated model engine. cached is the oracle's record of the true content of each block of this
+// incarnation.
 type engineNode struct {
 	*process
-	model   *engine.Model
-	lives   uint64
-	alarm   vtime.Alarm
-	cached  map[prefix.Hash]content
-	shed    shedding
-	need    need
-	ordered control.Fence // highest order it ever began to carry out, over all lives
-}
-
-// sending joins a job of the model to the attempt that waits for it.
-type sending struct {
-	engine  *engineNode
-	request *exchange
-	attempt core.AttemptID
-	stream  *stream
-	router  *routerNode
-	over    bool
-}
-
-func (s *sending) ended() bool { return s.over }
-
-// reset tells the router that the connection broke.
-func (s *sending) reset() {
-	if s.over {
+	model       *engine.Model
+	incarnation uint64
+	wakeup      vtime.Alarm
+	cached      map[prefix.Hash]blockContent
+	shed        rejection
+	advertised  limitPeriod
+	lastOrder   control.Fence // fence of the last order that it began to load, over all incarnations
+}
+
+// activeAttempt links a router's attempt to the job on the back end.
+type activeAttempt struct {
+	engine   *engineNode
+	request  *exchange
+	attempt  core.AttemptID
+	stream   *stream
+	router   *routerNode
+	finished bool
+}
+
+func (s *activeAttempt) ended() bool { return s.finished }
+
+// reset notifies the router that the connection broke.
+func (s *activeAttempt) reset() {
+	if s.finished {
 		return
 	}
-	s.over = true
-	s.router.run(s.stream.toLife, func() { s.router.attemptEvent(s, core.EventAttempt{Kind: core.AttemptBroken}) })
+	s.finished = true
+	s.router.run(s.stream.toGeneration, func() { s.router.attemptEvent(s, core.EventAttempt{Kind: core.AttemptBroken}) })
 }
 
-// boot starts a life with an empty cache.
+// boot starts a new incarnation with an empty cache.
 func (e *engineNode) boot() {
 	e.start()
-	e.lives++
-	e.cached, e.shed, e.need = map[prefix.Hash]content{}, shedding{}, need{}
+	e.incarnation++
+	e.cached, e.shed, e.advertised = map[prefix.Hash]blockContent{}, rejection{}, limitPeriod{}
 	weights := "w1"
 	if e.model != nil {
-		weights = e.model.Weights // they stay on the machine
+		weights = e.model.Weights // weights survive a restart on the local disk
 	}
-	e.model = engine.New(e.name, e.lives, weights, simRates(), blockToken, e.w.random.Uint64(), e.w.guards)
+	e.model = engine.New(e.name, e.incarnation, weights, simRates(), tokensPerBlock, e.w.random.Uint64(), e.w.guards)
 	e.model.Import = e.importFrom
-	e.alarm = vtime.Alarm{}
-	e.w.logf("%s starts as incarnation %d with weights %s", e.name, e.lives, weights)
+	e.wakeup = vtime.Alarm{}
+	e.w.logf("%s starts as incarnation %d with weights %s", e.name, e.incarnation, weights)
 	e.advance()
 }
 
-// advance runs the model up to now and sends what it produced.
+// advance runs the model up to now and sends its output.
 func (e *engineNode) advance() {
 	for _, output := range e.model.Advance(e.w.now()) {
-		e.output(output)
+		e.handleOutput(output)
 	}
-	due, any := e.model.NextDue()
+	due, any := e.model.NextWakeup()
 	if any {
-		e.alarm.Set(e.w.now(), due, time.Microsecond, e.after, e.advance)
+		e.wakeup.Set(e.w.now(), due, time.Microsecond, e.after, e.advance)
 	}
 }
 
-// lifeName names the engine's present life.
-func (e *engineNode) lifeName() string { return fmt.Sprintf("%s/%d", e.name, e.lives) }
+// incarnationName identifies the engine's current incarnation.
+func (e *engineNode) incarnationName() string { return fmt.Sprintf("%s/%d", e.name, e.incarnation) }
 
-// submit takes a job, or returns why not.
-func (e *engineNode) submit(action core.ActionDispatch, s *sending) engine.SubmitResult {
+// submit passes a job to the model and returns whether it was accepted.
+func (e *engineNode) submit(action core.ActionDispatch, s *activeAttempt) engine.SubmitResult {
 	job := &engine.Job{
-		Attempt: action.Attempt, Origin: fmt.Sprintf("%s#%d", s.router.name, s.router.life), Tenant: s.request.job.tenant,
+		Attempt: action.Attempt, Origin: fmt.Sprintf("%s#%d", s.router.name, s.router.generation), Tenant: s.request.job.tenant,
 		Blocks: action.Blocks, PromptTokens: s.request.promptTokens(), MaxTokens: action.MaxTokens, ResumeFrom: action.ResumeFrom,
-		Lane: action.Lane, Incarnation: action.Incarnation, Weights: action.Weights, RelyTokens: action.ExpectedCachedTokens,
+		Lane: action.Lane, Incarnation: action.Incarnation, Weights: action.Weights, ExpectedCachedTokens: action.ExpectedCachedTokens,
 		ImportFrom: action.ImportFrom, ImportBlocks: action.ImportBlocks, UserData: s,
 	}
 	e.advance()
 	result := e.model.Submit(e.w.now(), job)
-	if result == engine.Taken || result == engine.TakenWithoutReuse {
-		e.w.oracle.engineTook(e, job, s, result)
-		e.connect(s)
+	if result == engine.Accepted || result == engine.AcceptedWithoutReuse {
+		e.w.oracle.engineAccepted(e, job, s, result)
+		e.trackConnection(s)
 	}
 	e.advance()
 	return result
 }
 
-// output checks a job's step against the oracle's records and sends it.
-func (e *engineNode) output(output engine.Output) {
-	s := output.Job.UserData.(*sending)
+// handleOutput checks a job's output with the oracle and sends it to the router.
+func (e *engineNode) handleOutput(output engine.Output) {
+	s := output.Job.UserData.(*activeAttempt)
 	if len(output.Computed) > 0 {
-		e.noteComputed(s, output)
+		e.recordComputed(s, output)
 	}
 	if output.Kind == engine.OutputStarted {
 		e.w.oracle.engineReused(e, s, output)
@@ -129,7 +130,7 @@
 	event := core.EventAttempt{Echo: s.attempt, Index: output.Index, Cached: output.Cached}
 	switch output.Kind {
 	case engine.OutputStarted:
-		event.Kind, event.Incarnation, event.AdvertisesLimit = core.AttemptStarted, e.model.Incarnation, e.need.limit(e.w.now()).Advertised
+		event.Kind, event.Incarnation, event.AdvertisesLimit = core.AttemptStarted, e.model.Incarnation, e.advertised.limit(e.w.now()).Advertised
 	case engine.OutputToken:
 		event.Kind, event.Text = core.AttemptChunk, s.request.job.token(output.Index)
 	case engine.OutputDone:
@@ -138,32 +139,33 @@
 	e.transmit(s, event)
 }
 
-// noteComputed records what the blocks hold: the prompt's text under the tenant and the weights that computed it.
-func (e *engineNode) noteComputed(s *sending, output engine.Output) {
+// recordComputed records the true content of newly computed blocks.
+func (e *engineNode) recordComputed(s *activeAttempt, output engine.Output) {
 	first := len(output.Job.Blocks) - len(output.Computed)
 	for i, hash := range output.Computed {
 		e.cached[hash] = s.request.job.content(output.Weights, first+i)
 	}
 }
 
-// transmit sends an event to the router; faulty adapters repeat, drop, cross and cut short what they send.
-func (e *engineNode) transmit(s *sending, event core.EventAttempt) {
+// transmit sends an event to the router. During a stream fault some events are duplicated, dropped or misdirected,
+// or the stream is broken.
+func (e *engineNode) transmit(s *activeAttempt, event core.EventAttempt) {
 	send := func(event core.EventAttempt) {
 		s.stream.send(func() {
-			if !s.over {
-				s.over = event.Kind == core.AttemptDone
+			if !s.finished {
+				s.finished = event.Kind == core.AttemptDone
 				s.router.attemptEvent(s, event)
 			}
 		})
 	}
-	if e.w.now() < e.w.mischief.streamsUntil && event.Kind != core.AttemptStarted && e.w.chance(mischiefShare) {
-		e.misbehave(s, event, send)
+	if e.w.now() < e.w.pending.streamsUntil && event.Kind != core.AttemptStarted && e.w.chance(streamFaultRatio) {
+		e.injectStreamFault(s, event, send)
 		return
 	}
 	send(event)
 }
 
-func (e *engineNode) misbehave(s *sending, event core.EventAttempt, send func(core.EventAttempt)) {
+func (e *engineNode) injectStreamFault(s *activeAttempt, event core.EventAttempt, send func(core.EventAttempt)) {
 	switch e.w.random.IntN(4) {
 	case 0:
 		send(event)
@@ -182,34 +184,35 @@
 	}
 }
 
-// importFrom copies leading blocks from another engine and what the oracle knows of them.
+// importFrom copies leading blocks from another engine, with the oracle's records of them. It returns the number
+// copied.
 func (e *engineNode) importFrom(source string, chain []prefix.Hash) int {
 	other := e.w.engine(source)
-	if other == nil || !other.up || other.frozen || e.w.isCut(e.process, other.process) {
+	if other == nil || !other.up || other.frozen || e.w.isPartitioned(e.process, other.process) {
 		return 0
 	}
-	held := other.model.Export(e.w.now(), chain)
-	for _, hash := range chain[:held] {
+	copied := other.model.ExportablePrefix(e.w.now(), chain)
+	for _, hash := range chain[:copied] {
 		e.cached[hash] = other.cached[hash]
 	}
-	return held
+	return copied
 }
 
-// order carries out a fenced call.
-func (e *engineNode) order(call control.EngineCall) {
+// handleCall passes a fenced call from control to the model.
+func (e *engineNode) handleCall(call control.EngineCall) {
 	e.advance()
-	before := e.model.Loading()
+	wasLoading := e.model.Loading()
 	loading := 1
 	for _, other := range e.w.engines {
 		if other.up && other.model.Loading() {
 			loading++
 		}
 	}
-	accepted := e.model.Order(e.w.now(), call, engine.LoadTime(weightsLoad, loading, loadsAtOnce))
+	accepted := e.model.HandleCall(e.w.now(), call, engine.ContendedLoadTime(weightsLoadTime, loading, maxConcurrentLoads))
 	if call.Order != nil {
 		e.w.logf("%s is ordered to load %s by %d/%d: accepted=%v", e.name, call.Order.Weights, call.Fence.Term, call.Fence.Sequence, accepted)
 	}
-	if accepted && !before && e.model.Loading() {
+	if accepted && !wasLoading && e.model.Loading() {
 		e.w.oracle.engineLoads(e, call)
 	}
 	e.advance()
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	firstFault   = 6 * time.Second
-	lastFault    = 84 * time.Second
-	fewestFaults = 4
-	mostFaults   = 10
-	pairShare    = 0.35
-	pairWithin   = 2 * time.Second
+	firstFault       = 6 * time.Second
+	lastFault        = 84 * time.Second
+	minFaults        = 4
+	maxFaults        = 10
+	followUpRatio    = 0.35
+	followUpMaxDelay = 2 * time.Second
 )
 
-// fault is one kind of failure. It heals by itself.
+// fault is one kind of failure. It ends by itself.
 type fault struct {
 	name string
 	run  func(*world)
 }
 
-// catalogue lists every fault, in the order of "What fails" and of the pairs that are hard.
-var catalogue = []fault{
+// faultKinds lists every fault. Its order determines what a seed draws.
+var faultKinds = []fault{
 	{"kill router", (*world).faultKillRouter},
 	{"freeze router", (*world).faultFreezeRouter},
 	{"planned stop of a router", (*world).faultStopRouter},
-	{"herd restart of routers", (*world).faultHerd},
+	{"herd restart of routers", (*world).faultRestartAllRouters},
 	{"kill control replica", (*world).faultKillControl},
 	{"freeze leader", (*world).faultFreezeLeader},
 	{"power loss of all control replicas", (*world).faultPowerLoss},
-	{"lost disk", (*world).faultWipe},
-	{"lost disk, and a second one right after the repair", (*world).faultWipeTwice},
+	{"lost disk", (*world).faultLoseDisk},
+	{"lost disk, and a second one right after the repair", (*world).faultLoseDiskTwice},
 	{"lagging replica, then lost disk and dead leader", (*world).faultLaggingElected},
 	{"cut zone", (*world).faultCutZone},
 	{"one-way cut", (*world).faultCutOneWay},
@@ -35,8 +35,8 @@
 	{"kill engine", (*world).faultKillEngine},
 	{"kill engines in a row", (*world).faultKillEngines},
 	{"freeze engine", (*world).faultFreezeEngine},
-	{"leaving engine", (*world).faultLeaveEngine},
-	{"leaving service", (*world).faultLeaveService},
+	{"leaving engine", (*world).faultDrainEngine},
+	{"leaving service", (*world).faultDrainService},
 	{"kill service", (*world).faultKillService},
 	{"misbehaving streams", (*world).faultStreams},
 	{"services that drop connections", (*world).faultServices},
@@ -46,45 +46,45 @@
 	{"order under way while its leader is frozen", (*world).faultSlowOrder},
 	{"change while a router is cut off, watched to the end of its lease", (*world).faultLeaseEnds},
 	{"wall clock jump", (*world).faultClockJump},
-	{"hot prefix shift", (*world).faultShift},
+	{"hot prefix shift", (*world).faultShiftHotPrefix},
 	{"control blackout with router restarts", (*world).faultBlackout},
 	{"router frozen in a claim, thawed into a cut", (*world).faultClaimFreeze},
 	{"routers frozen in claims, one after the other", (*world).faultClaimFreezes},
-	{"process of the gateway fleet killed or frozen", (*world).fleetFault},
-	{"process of the gateway fleet killed or frozen, again", (*world).fleetFault},
-	{"request that ends whoever runs it", (*world).faultDeadlyRequest},
+	{"process of the gateway fleet killed or frozen", (*world).faultFleetProcess},
+	{"process of the gateway fleet killed or frozen, again", (*world).faultFleetProcess},
+	{"request that ends whoever runs it", (*world).faultFatalRequest},
 	{"suspended control replica", (*world).faultSuspendControl},
 	{"suspended gateway or router", (*world).faultSuspendGateway},
 	{"stalled disk", (*world).faultStallDisk},
 	{"disk that stalls under an order for weights", (*world).faultStallOrder},
 	{"writes while a replica is cut off, the others killed after the heal", (*world).faultCutThenKill},
 	{"leader that didn't see weights named", (*world).faultLateLeader},
-	{"back ends that turn requests away and ask for rest", (*world).faultShed},
+	{"back ends that turn requests away and ask for rest", (*world).faultRejectRequests},
 }
 
-// planFaults draws the faults of a run.
+// planFaults schedules the random faults of a run.
 func (w *world) planFaults() {
-	for range fewestFaults + w.random.IntN(mostFaults-fewestFaults+1) {
+	for range minFaults + w.random.IntN(maxFaults-minFaults+1) {
 		at := w.between(firstFault, lastFault)
 		w.planFault(at)
-		if w.chance(pairShare) {
-			w.planFault(at + w.between(0, pairWithin))
+		if w.chance(followUpRatio) {
+			w.planFault(at + w.between(0, followUpMaxDelay))
 		}
 	}
 }
 
 func (w *world) planFault(at time.Duration) {
-	drawn := pick(w, catalogue)
+	kind := pick(w, faultKinds)
 	w.after(at, func() {
 		w.faults++
-		w.logf("FAULT %s", drawn.name)
-		drawn.run(w)
+		w.logf("FAULT %s", kind.name)
+		kind.run(w)
 	})
 }
 
-// controlTrouble notes that control may be unwell until a time.
-func (w *world) controlTrouble(length time.Duration) {
-	w.oracle.controlFault = max(w.oracle.controlFault, w.now()+length)
+// recordControlDisturbance records that control may be unavailable for a while.
+func (w *world) recordControlDisturbance(length time.Duration) {
+	w.oracle.controlFaultEnd = max(w.oracle.controlFaultEnd, w.now()+length)
 }
 
 func (w *world) faultKillRouter() {
@@ -101,7 +101,7 @@
 func (w *world) freezeRouter(r *routerNode, length time.Duration) {
 	r.freeze()
 	r.stopping = false
-	w.after(length, r.thaw)
+	w.after(length, r.resume)
 }
 
 func (w *world) faultStopRouter() {
@@ -112,7 +112,7 @@
 	r.plannedStop(func() { w.restart(r, w.between(200*time.Millisecond, 2*time.Second)) })
 }
 
-func (w *world) faultHerd() {
+func (w *world) faultRestartAllRouters() {
 	for _, r := range w.routers {
 		r.kill(w.chance(0.3))
 		w.restart(r, w.between(100*time.Millisecond, 500*time.Millisecond))
@@ -120,13 +120,13 @@
 }
 
 func (w *world) restartControl(n *controlNode, after time.Duration) {
-	w.controlTrouble(after)
+	w.recordControlDisturbance(after)
 	w.restart(n, after)
 }
 
 func (w *world) faultKillControl() {
 	n := pick(w, w.controls)
-	n.die(w.chance(0.5))
+	n.crash(w.chance(0.5))
 	w.restartControl(n, w.between(200*time.Millisecond, 7*time.Second))
 }
 
@@ -137,11 +137,11 @@
 	}
 	length := w.between(300*time.Millisecond, 12*time.Second)
 	n.freeze()
-	w.controlTrouble(length)
-	w.after(length, n.thaw)
+	w.recordControlDisturbance(length)
+	w.after(length, n.resume)
 }
 
-// faultSuspendControl suspends a replica's machine, mostly the leader's, some right when it acknowledged a change.
+// faultSuspendControl suspends a replica's machine, mostly the leader's, sometimes right after a change was accepted.
 func (w *world) faultSuspendControl() {
 	n := w.leader()
 	if n == nil || w.chance(0.2) {
@@ -150,7 +150,7 @@
 	length := w.between(200*time.Millisecond, 8*time.Second)
 	suspend := func() {
 		n.suspend(length)
-		w.controlTrouble(length)
+		w.recordControlDisturbance(length)
 	}
 	if w.chance(0.4) {
 		w.onAccept = append(w.onAccept, suspend)
@@ -159,7 +159,7 @@
 	suspend()
 }
 
-// faultSuspendGateway suspends the machine of a gateway, or of a router, some of these in a claim.
+// faultSuspendGateway suspends the machine of a gateway or a router, some routers during a claim.
 func (w *world) faultSuspendGateway() {
 	length := w.between(200*time.Millisecond, 8*time.Second)
 	if w.chance(0.5) {
@@ -167,7 +167,7 @@
 		return
 	}
 	if w.chance(0.5) {
-		w.mischief.freezeClaim = func(r *routerNode) { w.suspendRouter(r, length) }
+		w.pending.onNextClaim = func(r *routerNode) { w.suspendRouter(r, length) }
 		return
 	}
 	w.suspendRouter(pick(w, w.routers), length)
@@ -178,22 +178,25 @@
 	r.suspend(length)
 }
 
-// faultPowerLoss ends all control replicas right after an operator was told that a change is accepted.
+// faultPowerLoss kills all control replicas right after a change was acknowledged to an operator.
 func (w *world) faultPowerLoss() {
 	w.onAccept = append(w.onAccept, func() {
 		for _, n := range w.controls {
-			w.after(w.between(0, 3*time.Millisecond), func() { n.die(true) })
+			w.after(w.between(0, 3*time.Millisecond), func() { n.crash(true) })
 			w.restartControl(n, w.between(500*time.Millisecond, 2*time.Second))
 		}
 	})
 }
 
-// mayWipe reports whether the membership is committed and every voter is up with its disk, so that losing one
-// disk must lose nothing.
-func (w *world) mayWipe() bool { return len(w.network.cut) == 0 && w.votersWhole() }
+// toleratesDiskLoss reports whether the loss of one disk must lose no data: there is no partition, and every voter is
+// intact.
+func (w *world) toleratesDiskLoss() bool {
+	return len(w.network.partitioned) == 0 && w.allVotersIntact()
+}
 
-// votersWhole reports whether there is a leader, and every voter is up with the disk that it voted from.
-func (w *world) votersWhole() bool {
+// allVotersIntact reports whether there is a leader with a committed membership and every voter runs on the disk
+// that it joined with.
+func (w *world) allVotersIntact() bool {
 	leader := w.leader()
 	if leader == nil || !leader.replica.Node().MembershipCommitted() {
 		return false
@@ -204,8 +207,8 @@
 			continue
 		}
 		voters++
-		held := w.control(member.Name)
-		if held.identity.ID != member.ID || !held.up || held.frozen {
+		voter := w.control(member.Name)
+		if voter.identity.ID != member.ID || !voter.up || voter.frozen {
 			return false
 		}
 	}
@@ -221,16 +224,16 @@
 	panic("sim: no control replica " + name)
 }
 
-// wipe loses a replica's disk; it comes back with an empty folder.
-func (w *world) wipe(n *controlNode) {
+// loseDisk kills a replica, which restarts with an empty data directory.
+func (w *world) loseDisk(n *controlNode) {
 	w.logf("%s loses its disk", n.name)
-	n.die(w.chance(0.5))
-	n.newFolder()
+	n.crash(w.chance(0.5))
+	n.newDataDir()
 	w.restartControl(n, w.between(50*time.Millisecond, time.Second))
-	w.controlTrouble(2 * repairAfter)
+	w.recordControlDisturbance(2 * repairAfter)
 }
 
-func (w *world) voter() *controlNode {
+func (w *world) randomVoter() *controlNode {
 	members := w.leader().replica.Node().Membership().Members
 	for {
 		if member := pick(w, members); !member.Learner {
@@ -239,24 +242,24 @@
 	}
 }
 
-func (w *world) faultWipe() {
-	if w.mayWipe() {
-		w.wipe(w.voter())
+func (w *world) faultLoseDisk() {
+	if w.toleratesDiskLoss() {
+		w.loseDisk(w.randomVoter())
 	}
 }
 
-func (w *world) faultWipeTwice() {
-	if !w.mayWipe() {
+func (w *world) faultLoseDiskTwice() {
+	if !w.toleratesDiskLoss() {
 		return
 	}
-	w.wipe(w.voter())
+	w.loseDisk(w.randomVoter())
 	deadline := w.now() + 4*repairAfter
 	var second func()
 	second = func() {
 		switch {
 		case w.now() > min(deadline, activeTime):
-		case w.mayWipe():
-			w.wipe(w.voter())
+		case w.toleratesDiskLoss():
+			w.loseDisk(w.randomVoter())
 		default:
 			w.after(20*time.Millisecond, second)
 		}
@@ -264,10 +267,10 @@
 	w.after(20*time.Millisecond, second)
 }
 
-// faultLaggingElected cuts one follower off, waits for an accepted change, then takes the disk of the other
-// follower and the life of the leader, and heals the cut: only the leader's disk holds the change then.
+// faultLaggingElected partitions one follower, waits for an accepted change, kills the leader, loses the other
+// follower's disk and heals the partition. Only the leader's disk has the change then.
 func (w *world) faultLaggingElected() {
-	if !w.mayWipe() {
+	if !w.toleratesDiskLoss() {
 		return
 	}
 	leader := w.leader()
@@ -281,48 +284,48 @@
 	if lagging.zone == leader.zone || lagging.zone == lost.zone {
 		return
 	}
-	heal := w.cutZone(lagging.zone)
-	w.controlTrouble(4 * time.Second)
+	heal := w.partitionZone(lagging.zone)
+	w.recordControlDisturbance(4 * time.Second)
 	w.onAccept = append(w.onAccept, func() {
-		if !w.votersWhole() {
-			return // another disk was lost meanwhile, and two at once are more than a group of three bears
+		if !w.allVotersIntact() {
+			return // another disk was lost meanwhile; a group of three doesn't tolerate two
 		}
-		leader.die(true)
-		w.wipe(lost)
+		leader.crash(true)
+		w.loseDisk(lost)
 		w.restartControl(leader, 6*time.Second)
 	})
 	w.after(3500*time.Millisecond, heal)
 }
 
-// cutZone cuts a zone from the others and returns what heals it.
-func (w *world) cutZone(zone string) (heal func()) {
+// partitionZone partitions a zone from the others and returns a function that heals the partition.
+func (w *world) partitionZone(zone string) (heal func()) {
 	var pairs [][2]string
 	for _, other := range zones {
 		if other != zone {
 			pairs = append(pairs, [2]string{zone, other}, [2]string{other, zone})
 		}
 	}
-	return w.cut(pairs)
+	return w.partition(pairs)
 }
 
-func (w *world) cut(pairs [][2]string) (heal func()) {
+func (w *world) partition(pairs [][2]string) (heal func()) {
 	for _, pair := range pairs {
-		w.network.cut[pair]++
+		w.network.partitioned[pair]++
 	}
 	return func() {
 		for _, pair := range pairs {
-			if w.network.cut[pair]--; w.network.cut[pair] <= 0 {
-				delete(w.network.cut, pair)
+			if w.network.partitioned[pair]--; w.network.partitioned[pair] <= 0 {
+				delete(w.network.partitioned, pair)
 			}
 		}
-		w.logf("cut healed")
+		w.logf("partition healed")
 	}
 }
 
 func (w *world) faultCutZone() {
 	length := w.between(500*time.Millisecond, 9*time.Second)
-	w.controlTrouble(length)
-	w.after(length, w.cutZone(pick(w, zones)))
+	w.recordControlDisturbance(length)
+	w.after(length, w.partitionZone(pick(w, zones)))
 }
 
 func (w *world) faultCutOneWay() {
@@ -331,22 +334,22 @@
 		return
 	}
 	length := w.between(500*time.Millisecond, 9*time.Second)
-	w.controlTrouble(length)
-	w.after(length, w.cut([][2]string{{from, to}}))
+	w.recordControlDisturbance(length)
+	w.after(length, w.partition([][2]string{{from, to}}))
 }
 
 func (w *world) faultBadNetwork() {
 	length := w.between(time.Second, 8*time.Second)
-	w.network.badUntil = max(w.network.badUntil, w.now()+length)
-	w.network.lossShare = 0.02 + 0.2*w.random.Float64()
-	w.controlTrouble(length)
+	w.network.degradedUntil = max(w.network.degradedUntil, w.now()+length)
+	w.network.lossRatio = 0.02 + 0.2*w.random.Float64()
+	w.recordControlDisturbance(length)
 }
 
-// faultBlackout takes the majority of control while routers restart.
+// faultBlackout kills a majority of the control replicas while all routers restart.
 func (w *world) faultBlackout() {
 	length := w.between(3*time.Second, 8*time.Second)
 	for _, n := range w.controls[:groupSize-1] {
-		n.die(true)
+		n.crash(true)
 		w.restartControl(n, length)
 	}
 	for _, r := range w.routers {
@@ -355,14 +358,14 @@
 	}
 }
 
-// faultRace makes both operators edit the same version at once, several times.
+// faultRace makes the operators edit the same version concurrently, several times.
 func (w *world) faultRace() {
 	for round := range 4 {
 		w.after(time.Duration(round)*700*time.Millisecond, func() {
 			base := w.oracle.acknowledged
 			for _, o := range w.operators {
 				if base > 0 {
-					o.submit(base, o.drawEdits())
+					o.submit(base, o.randomEdits())
 				}
 			}
 		})
@@ -377,7 +380,7 @@
 
 func (w *world) faultClockJump() {
 	pick(w, w.controls).wallSkew += w.between(-10*time.Minute, 10*time.Minute)
-	w.oracle.dayMoved()
+	w.oracle.updateWallSkews()
 }
 
-func (w *world) faultShift() { w.callers.hot += 3 }
+func (w *world) faultShiftHotPrefix() { w.callers.hotTemplateOffset += 3 }
--- a/internal/lab/sim/mischief.go
+++ b/internal/lab/sim/mischief.go
@@ -3,33 +3,33 @@
 import "time"
 
 const (
-	leaveLength = 10 * time.Second // until a leaving back end ends
-	awayLength  = 2 * time.Second  // until it comes back
+	drainDuration = 10 * time.Second // until a draining back end stops
+	restartDelay  = 2 * time.Second  // until it restarts
 )
 
-// mischief is what back ends and the machine list do wrong on purpose, and until when.
-type mischief struct {
-	stallsOrder   bool // the disk stalls under the next order for weights
-	streamsUntil  time.Duration
-	servicesUntil time.Duration
-	freezeClaim   func(*routerNode)                // run at the next claim of a router
-	slowOrder     func(*controlNode) time.Duration // run at the next order to an engine
+// pendingFaults are faults that last for a while or wait for an event.
+type pendingFaults struct {
+	stallDiskOnOrder bool // the leader's disk stalls at the next weights order
+	streamsUntil     time.Duration
+	servicesUntil    time.Duration
+	onNextClaim      func(*routerNode)                // run at the next claim of a router
+	onNextOrder      func(*controlNode) time.Duration // run at the next order to an engine
 }
 
-// orderLeaves runs a fault that waits for an order, and returns how long the order takes then.
-func (m *mischief) orderLeaves(n *controlNode) time.Duration {
-	waiting := m.slowOrder
+// delayOrder runs the fault that waits for an order, if any, and returns the order's delay.
+func (m *pendingFaults) delayOrder(n *controlNode) time.Duration {
+	waiting := m.onNextOrder
 	if waiting == nil {
 		return 0
 	}
-	m.slowOrder = nil
+	m.onNextOrder = nil
 	return waiting(n)
 }
 
-// claimBegins runs a fault that waits for a claim.
-func (m *mischief) claimBegins(r *routerNode) {
-	if waiting := m.freezeClaim; waiting != nil {
-		m.freezeClaim = nil
+// onClaim runs the fault that waits for a claim, if any.
+func (m *pendingFaults) onClaim(r *routerNode) {
+	if waiting := m.onNextClaim; waiting != nil {
+		m.onNextClaim = nil
 		waiting(r)
 	}
 }
@@ -38,7 +38,7 @@
 	e := pick(w, w.engines)
 	e.kill(w.chance(0.5))
 	if w.chance(0.5) {
-		w.restart(e, w.between(10*time.Millisecond, 80*time.Millisecond)) // back before anybody noticed
+		w.restart(e, w.between(10*time.Millisecond, 80*time.Millisecond)) // before the failure is detected
 		return
 	}
 	w.restart(e, w.between(100*time.Millisecond, 3*time.Second))
@@ -47,31 +47,31 @@
 func (w *world) faultFreezeEngine() {
 	e := pick(w, w.engines)
 	e.freeze()
-	w.after(w.between(300*time.Millisecond, 6*time.Second), e.thaw)
+	w.after(w.between(300*time.Millisecond, 6*time.Second), e.resume)
 }
 
-func (w *world) faultLeaveEngine() {
+func (w *world) faultDrainEngine() {
 	e := pick(w, w.engines)
-	w.leave(e.process, e)
+	w.drainBackend(e.process, e)
 }
 
-func (w *world) faultLeaveService() {
+func (w *world) faultDrainService() {
 	s := pick(w, w.services)
-	w.leave(s.process, s)
+	w.drainBackend(s.process, s)
 }
 
-// leave has the machine list say that a back end leaves; the back end itself does not know. Later it ends, and comes
-// back as a new one.
-func (w *world) leave(p *process, n node) {
-	if p.leftAt > 0 {
+// drainBackend marks a back end as leaving in the machine list only; the back end itself isn't told. It stops after
+// drainDuration and restarts as a new incarnation.
+func (w *world) drainBackend(p *process, n node) {
+	if p.drainingSince > 0 {
 		return
 	}
-	p.leftAt = w.now()
+	p.drainingSince = w.now()
 	w.logf("%s is to leave", p.name)
-	w.after(leaveLength, func() {
+	w.after(drainDuration, func() {
 		p.kill(false)
-		p.leftAt = 0
-		w.restart(n, awayLength)
+		p.drainingSince = 0
+		w.restart(n, restartDelay)
 	})
 }
 
@@ -82,14 +82,14 @@
 }
 
 func (w *world) faultStreams() {
-	w.mischief.streamsUntil = w.now() + w.between(2*time.Second, 8*time.Second)
+	w.pending.streamsUntil = w.now() + w.between(2*time.Second, 8*time.Second)
 }
 
 func (w *world) faultServices() {
-	w.mischief.servicesUntil = w.now() + w.between(2*time.Second, 8*time.Second)
+	w.pending.servicesUntil = w.now() + w.between(2*time.Second, 8*time.Second)
 }
 
-// faultWrongList makes the machine list leave out an engine that is alive.
+// faultWrongList omits a running engine from the machine list.
 func (w *world) faultWrongList() {
 	e := pick(w, w.engines)
 	w.platform.omitted[e.name] = true
@@ -97,9 +97,9 @@
 }
 
 // faultClaimFreeze freezes a router that waits for a claim. Meanwhile a change comes into force and the router's
-// session ends; it thaws into a cut, so that nothing but its own clock tells it.
+// session expires. The router resumes in a partition, so that it can notice this by its own clock only.
 func (w *world) faultClaimFreeze() {
-	w.mischief.freezeClaim = func(r *routerNode) {
+	w.pending.onNextClaim = func(r *routerNode) {
 		if r.zone == serveLastZone {
 			return
 		}
@@ -107,14 +107,14 @@
 		length := 2*settingsLease + w.between(time.Second, 3*time.Second)
 		w.after(w.between(2*time.Millisecond, 12*time.Millisecond), func() { w.freezeRouter(r, length) })
 		w.after(length-100*time.Millisecond, func() {
-			heal := w.cutZone(r.zone)
-			w.controlTrouble(4 * time.Second)
+			heal := w.partitionZone(r.zone)
+			w.recordControlDisturbance(4 * time.Second)
 			w.after(3500*time.Millisecond, heal)
 		})
 	}
 }
 
-// faultKillEngines ends engines one after the other, each of which is back at once and empty.
+// faultKillEngines kills the engines one after the other. Each restarts at once with an empty cache.
 func (w *world) faultKillEngines() {
 	for i, e := range w.engines {
 		w.after(time.Duration(i)*900*time.Millisecond, func() {
@@ -130,14 +130,14 @@
 	}
 }
 
-// faultSlowOrder keeps an order on its way while its leader freezes, another one is elected and the tree is changed
-// back, so that the order arrives after a newer one.
+// faultSlowOrder delays an order while its leader is frozen, another one is elected and the settings are changed back,
+// so that the order arrives after a newer one.
 func (w *world) faultSlowOrder() {
 	const length = 5 * time.Second
-	w.mischief.slowOrder = func(leader *controlNode) time.Duration {
+	w.pending.onNextOrder = func(leader *controlNode) time.Duration {
 		w.after(10*time.Millisecond, leader.freeze)
-		w.controlTrouble(length)
-		w.after(length, leader.thaw)
+		w.recordControlDisturbance(length)
+		w.after(length, leader.resume)
 		for round := range 3 {
 			w.after(2*time.Second+time.Duration(round)*400*time.Millisecond, w.operators[1].flipWeights)
 		}
@@ -146,15 +146,15 @@
 	w.operators[0].flipWeights()
 }
 
-// faultLeaseEnds watches the end of a lease several times.
+// faultLeaseEnds tests the expiry of a router's lease several times.
 func (w *world) faultLeaseEnds() {
 	for round := range 3 {
 		w.after(time.Duration(round)*6*time.Second, w.faultLeaseEnd)
 	}
 }
 
-// faultLeaseEnd cuts a router off, changes the tree, and sends requests to that router while operators look again and
-// again whether the change is in force: the router must have stopped by then, however its clock runs.
+// faultLeaseEnd partitions a router, changes the settings and sends requests to that router while an operator polls
+// whether the change is in force. The router must have stopped serving by then, whatever the skew of its clock.
 func (w *world) faultLeaseEnd() {
 	const length = 4 * time.Second
 	leader := w.leader()
@@ -162,8 +162,8 @@
 	if leader == nil || r.zone == serveLastZone || r.zone == leader.zone {
 		return
 	}
-	w.controlTrouble(length)
-	w.after(length, w.cutZone(r.zone))
+	w.recordControlDisturbance(length)
+	w.after(length, w.partitionZone(r.zone))
 	w.after(100*time.Millisecond, w.operators[0].flipWeights)
 	for at := settingsLease * 3 / 4; at < settingsLease*5/4; at += 10 * time.Millisecond {
 		w.after(at, w.operators[1].read)
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// namedFrom is how long after it was first named it must hold, and namedHeard how long after a process heard of it what that one sends counts.
-	namedFrom  = 3 * time.Second
-	namedHeard = 500 * time.Millisecond
-	// namedSettle is how long a limit from before may still count that has changed.
-	namedSettle = time.Second
-	// needsMost bounds how often back ends are in need in one run; needAllShare is how often all of them are together, and needChangeShare how
-	// often the limit changes meanwhile.
-	needsMost       = 3
-	needAllShare    = 0.4
-	needChangeShare = 0.5
-	needStream      = 17
+	// limitGrace is how long after a limit is first advertised it may be exceeded; limitLearnDelay is how long after a
+	// process learned of it the requests of that process aren't counted.
+	limitGrace      = 3 * time.Second
+	limitLearnDelay = 500 * time.Millisecond
+	// limitChangeGrace is how long the previous limit may still apply after a change.
+	limitChangeGrace = time.Second
+	// maxLimitPeriods bounds the limit periods of a run. allLimitedRatio is the share that affects all back ends, and
+	// limitChangeRatio the share in which the limit changes halfway.
+	maxLimitPeriods  = 3
+	allLimitedRatio  = 0.4
+	limitChangeRatio = 0.5
+	limitStream      = 17
 )
 
-// need is a time in which a back end names a limit. Its zero value is none.
-type need struct {
+// limitPeriod is a period in which a back end advertises a limit. The zero value is empty.
+type limitPeriod struct {
 	from, until time.Duration
-	rate, later float64 // requests a second, from the start and from half of the time on
+	rate, later float64 // requests per second in the first and second half
 }
 
-// limit returns what the back end names now.
-func (n need) limit(now time.Duration) pushback.Limit {
+// limit returns the limit that the back end advertises now.
+func (n limitPeriod) limit(now time.Duration) pushback.Limit {
 	switch {
 	case now < n.from || now >= n.until:
 		return pushback.Limit{}
@@ -46,8 +47,8 @@
 	return pushback.Limit{Advertised: true, Rate: n.later}
 }
 
-// highest returns the highest limit that was named between two times.
-func (n need) highest(from, to time.Duration) float64 {
+// highest returns the highest limit that was advertised between two times.
+func (n limitPeriod) highest(from, to time.Duration) float64 {
 	half := (n.from + n.until) / 2
 	switch {
 	case to < half:
@@ -58,120 +59,123 @@
 	return max(n.rate, n.later)
 }
 
-// planNeeds lets back ends be in need in half of all runs. Its chances are its own, so that the other runs are as they were without it.
-func (w *world) planNeeds() {
-	w.needs = rand.New(rand.NewPCG(w.seed, needStream))
+// planAdvertisedLimits schedules limit periods in half of all runs. It has its own random source, so that other runs
+// don't change.
+func (w *world) planAdvertisedLimits() {
+	w.limitRandom = rand.New(rand.NewPCG(w.seed, limitStream))
 	if w.seed/4%2 == 0 {
 		return
 	}
-	for range 1 + w.needs.IntN(needsMost) {
-		at := firstFault + time.Duration(w.needs.Int64N(int64(lastFault-firstFault)))
-		w.after(at, w.beginNeed)
+	for range 1 + w.limitRandom.IntN(maxLimitPeriods) {
+		at := firstFault + time.Duration(w.limitRandom.Int64N(int64(lastFault-firstFault)))
+		w.after(at, w.advertiseLimit)
 	}
 }
 
-// beginNeed lets one engine and one back end of the fleet, or all of them, name a limit for a while.
-func (w *world) beginNeed() {
+// advertiseLimit makes one engine and one back end of the fleet, or all of them, advertise a limit for a while.
+func (w *world) advertiseLimit() {
 	now := w.now()
-	made := need{from: now, until: now + 6*time.Second + time.Duration(w.needs.Int64N(int64(14*time.Second))), rate: 6 * w.needs.Float64()}
-	made.later = made.rate
-	if w.needs.Float64() < needChangeShare {
-		made.later = 6 * w.needs.Float64()
+	period := limitPeriod{from: now, until: now + 6*time.Second + time.Duration(w.limitRandom.Int64N(int64(14*time.Second))), rate: 6 * w.limitRandom.Float64()}
+	period.later = period.rate
+	if w.limitRandom.Float64() < limitChangeRatio {
+		period.later = 6 * w.limitRandom.Float64()
 	}
-	all := w.needs.Float64() < needAllShare
-	engine, backend := w.needs.IntN(len(w.engines)), w.needs.IntN(len(w.backends))
-	w.logf("FAULT back ends name a limit of %.2f, then %.2f, until %v; all: %v", made.rate, made.later, made.until, all)
+	all := w.limitRandom.Float64() < allLimitedRatio
+	engine, backend := w.limitRandom.IntN(len(w.engines)), w.limitRandom.IntN(len(w.backends))
+	w.logf("FAULT back ends advertise a limit of %.2f, then %.2f, until %v; all: %v", period.rate, period.later, period.until, all)
 	for i, e := range w.engines {
 		if all || i == engine {
-			e.need = made
+			e.advertised = period
 		}
 	}
 	for i, b := range w.backends {
 		if all || i == backend {
-			b.need = made
+			b.advertised = period
 		}
 	}
 }
 
-// limitedLife is what was sent to one life of a back end in one time of need, by processes that had heard of it.
-type limitedLife struct {
-	heard map[string]time.Duration // when each process first heard of it
-	sends []time.Duration          // rising
+// limitedIncarnation records the requests that one incarnation of a back end got in one limit period from processes that
+// knew the limit.
+type limitedIncarnation struct {
+	learnedAt map[string]time.Duration // when each process first learned of the limit
+	sentAt    []time.Duration          // in ascending order
 }
 
-// limitOracle is what back ends in need got. Its keys name a life and the start of its need.
-type limitOracle map[string]*limitedLife
+// limitOracle records requests by incarnation and start of its limit period.
+type limitOracle map[string]*limitedIncarnation
 
-func (l limitOracle) of(life string, n need) *limitedLife {
-	key := fmt.Sprint(life, n.from)
+func (l limitOracle) of(incarnation string, n limitPeriod) *limitedIncarnation {
+	key := fmt.Sprint(incarnation, n.from)
 	if l[key] == nil {
-		l[key] = &limitedLife{heard: map[string]time.Duration{}}
+		l[key] = &limitedIncarnation{learnedAt: map[string]time.Duration{}}
 	}
 	return l[key]
 }
 
-// heardLimit notes that a process has an answer in which a back end names its limit.
-func (o *oracle) heardLimit(p pair, n need) {
-	life := o.limits.of(p.backend, n)
-	if _, known := life.heard[p.sender]; !known {
-		life.heard[p.sender] = o.w.now()
+// recordLimit records that a process got a response in which a back end advertises its limit.
+func (o *oracle) recordLimit(p senderBackend, n limitPeriod) {
+	incarnation := o.limits.of(p.backend, n)
+	if _, known := incarnation.learnedAt[p.sender]; !known {
+		incarnation.learnedAt[p.sender] = o.w.now()
 	}
 }
 
-// sendsLimited checks a request at the moment it is sent to a back end.
-func (o *oracle) sendsLimited(p pair, n need) {
+// checkLimitedSend checks a request against the limit when it is sent to a back end.
+func (o *oracle) checkLimitedSend(p senderBackend, n limitPeriod) {
 	now := o.w.now()
 	if !n.limit(now).Advertised {
 		return
 	}
-	life := o.limits.of(p.backend, n)
-	if heard, known := life.heard[p.sender]; !known || now < heard+namedHeard {
+	incarnation := o.limits.of(p.backend, n)
+	if learnedAt, known := incarnation.learnedAt[p.sender]; !known || now < learnedAt+limitLearnDelay {
 		return
 	}
-	life.sends = window.Add(life.sends, now)
-	allowed := window.Allowed(n.highest(now-window.Length-namedSettle, now))
-	if now >= n.from+namedFrom && float64(len(life.sends)) > allowed {
-		o.fail(LimitKept, "%s got %d requests in %v from processes that had heard its limit, %.1f allowed, the last from %s", p.backend, len(life.sends), window.Length, allowed, p.sender)
+	incarnation.sentAt = window.Add(incarnation.sentAt, now)
+	allowed := window.Allowed(n.highest(now-window.Length-limitChangeGrace, now))
+	if now >= n.from+limitGrace && float64(len(incarnation.sentAt)) > allowed {
+		o.fail(AdvertisedLimitRespected, "%s got %d requests in %v from processes that knew its limit, %.1f allowed, the last from %s", p.backend, len(incarnation.sentAt), window.Length, allowed, p.sender)
 	}
 }
 
-// permitted reports whether a gateway may send to a back end now for the limit that this names; else it asks for a part of it, and sends then.
-func (g *fleetGateway) permitted(entry control.RosterEntry) bool {
-	limit, heard := g.pushed.LimitObservedAt(catalog.ParseInstanceID(entry.ID))
+// hasLease reports whether a gateway may send to a back end within its advertised limit now. If not, it requests a lease
+// and sends the request when it gets one.
+func (g *fleetGateway) hasLease(entry control.RosterEntry) bool {
+	limit, observedAt := g.signals.LimitObservedAt(catalog.ParseInstanceID(entry.ID))
 	if !limit.Advertised || !g.w.guards.On(guard.AdvertisedLimitCheck) {
 		return true
 	}
 	name, now := quota.Backend(entry.ID), g.clock()
-	named := allowance.AdvertisedLimit{Rate: limit.Rate, Age: now - heard}
-	g.borrower.SetAdvertisedLimit(now, name, named)
-	if hold, ok := g.borrower.Take(now, name, 1); ok {
-		return hold.Valid(now)
+	advertised := allowance.AdvertisedLimit{Rate: limit.Rate, Age: now - observedAt}
+	g.leases.SetAdvertisedLimit(now, name, advertised)
+	if lease, ok := g.leases.Take(now, name, 1); ok {
+		return lease.Valid(now)
 	}
-	if !g.asking {
-		g.askPermit(entry, []allowance.Demand{{Name: name, Amount: 1, Advertised: &named}})
+	if !g.requestingLease {
+		g.requestLease(entry, []allowance.Demand{{Name: name, Amount: 1, Advertised: &advertised}})
 	}
 	return false
 }
 
-// askPermit asks the leader for a part of a back end's limit, and sends there if there is one.
-func (g *fleetGateway) askPermit(entry control.RosterEntry, wants []allowance.Demand) {
-	asked := g.clock()
-	question := g.borrower.NewRequest(asked, wants)
-	g.asking = true
-	g.lender.once(control.Request{Borrow: &question}, permitTimeout, func(response control.Response, answered bool) {
-		g.asking = false
-		var hold allowance.Lease
-		if answered && response.Lent != nil {
-			hold = g.borrower.ApplyReply(g.clock(), asked, wants, *response.Lent)[0].Lease
+// requestLease requests a lease on a back end's limit from the leader and sends the request if it gets one.
+func (g *fleetGateway) requestLease(entry control.RosterEntry, demands []allowance.Demand) {
+	sentAt := g.clock()
+	request := g.leases.NewRequest(sentAt, demands)
+	g.requestingLease = true
+	g.leaseAsker.askOnce(control.Request{AllowanceRequest: &request}, leaseTimeout, func(response control.Response, answered bool) {
+		g.requestingLease = false
+		var lease allowance.Lease
+		if answered && response.AllowanceReply != nil {
+			lease = g.leases.ApplyReply(g.clock(), sentAt, demands, *response.AllowanceReply)[0].Lease
 		} else {
-			hold, _ = g.borrower.TakeFallback(g.clock(), wants[0].Name, 1)
+			lease, _ = g.leases.TakeFallback(g.clock(), demands[0].Name, 1)
 		}
 		at := slices.IndexFunc(g.roster, func(e control.RosterEntry) bool { return e.ID == entry.ID })
-		if hold.Valid(g.clock()) && at >= 0 && g.maySendTo(g.roster[at]) {
+		if lease.Valid(g.clock()) && at >= 0 && g.maySendTo(g.roster[at]) {
 			g.sendTo(g.roster[at])
 		}
 	})
 }
 
-// permitTimeout is how long a gateway waits for the lender.
-const permitTimeout = 150 * time.Millisecond
+// leaseTimeout is how long a gateway waits for the reply to a lease request.
+const leaseTimeout = 150 * time.Millisecond
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -3,149 +3,149 @@
 import "time"
 
 const (
-	callerZone   = "callers"  // callers reach every zone
-	platformZone = "platform" // and so does the machine list
-	refusalDelay = 2 * time.Millisecond
-	resendPeriod = 100 * time.Millisecond
-	localLatency = 200 * time.Microsecond
-	zoneLatency  = 1500 * time.Microsecond
-	callLoss     = 0.001 // share of calls whose connection dies in a network without faults
+	callerZone       = "callers"  // callers reach every zone
+	platformZone     = "platform" // the machine list reaches every zone, too
+	refusedCallDelay = 2 * time.Millisecond
+	resendInterval   = 100 * time.Millisecond
+	localLatency     = 200 * time.Microsecond
+	zoneLatency      = 1500 * time.Microsecond
+	callLossRatio    = 0.001 // share of calls whose connection breaks in a healthy network
 )
 
-// network tells how messages travel.
+// network is the state of the simulated network.
 type network struct {
-	cut       map[[2]string]int // directed zone pairs that are cut, and how often
-	badUntil  time.Duration     // messages are lost, delayed, repeated and reordered until then
-	lossShare float64
+	partitioned   map[[2]string]int // number of partitions by directed pair of zones
+	degradedUntil time.Duration     // messages are lost, delayed, duplicated and reordered until then
+	lossRatio     float64
 }
 
-func (w *world) isCut(from, to *process) bool {
-	return w.network.cut[[2]string{from.zone, to.zone}] > 0
+func (w *world) isPartitioned(from, to *process) bool {
+	return w.network.partitioned[[2]string{from.zone, to.zone}] > 0
 }
 
-func (w *world) bad() bool { return w.now() < w.network.badUntil }
+func (w *world) isDegraded() bool { return w.now() < w.network.degradedUntil }
 
-// latency draws the time of one way.
+// latency returns a random one-way latency.
 func (w *world) latency(from, to *process) time.Duration {
 	base := localLatency
 	if from.zone != to.zone {
 		base = zoneLatency
 	}
 	delay := base + w.between(0, base)
-	if w.bad() && w.chance(0.3) {
+	if w.isDegraded() && w.chance(0.3) {
 		delay += w.between(0, 150*time.Millisecond)
 	}
 	return delay
 }
 
-// lost draws whether a message is lost.
+// lost reports whether a message is lost, at random or by a partition.
 func (w *world) lost(from, to *process) bool {
-	return w.isCut(from, to) || (w.bad() && w.chance(w.network.lossShare))
+	return w.isPartitioned(from, to) || (w.isDegraded() && w.chance(w.network.lossRatio))
 }
 
-// message sends something that may be lost, repeated or reordered.
-func (w *world) message(from, to *process, arrive func()) {
+// message sends a message that may be lost, duplicated or reordered.
+func (w *world) message(from, to *process, deliver func()) {
 	copies := 1
-	if w.bad() && w.chance(0.1) {
+	if w.isDegraded() && w.chance(0.1) {
 		copies = 2
 	}
 	for range copies {
 		if w.lost(from, to) {
 			continue
 		}
-		life := to.life
-		w.after(w.latency(from, to), func() { to.run(life, arrive) })
+		generation := to.generation
+		w.after(w.latency(from, to), func() { to.run(generation, deliver) })
 	}
 }
 
-// call is a request with one answer. Exactly one of the answer's function and failed is run at the caller, unless
-// the caller dies first. failed tells whether the callee provably did not get the request.
+// call is a request with one reply. Exactly one of the reply's function and failed runs at the caller, unless the caller
+// ends first. The argument of failed reports whether the callee provably didn't receive the request.
 type call struct {
-	w        *world
-	from, to *process
-	fromLife int
-	settled  bool
-	failed   func(refused bool)
+	w              *world
+	from, to       *process
+	fromGeneration int
+	done           bool
+	failed         func(notSent bool)
 }
 
-// call sends a request; serve runs at the callee and answers through respond.
-func (w *world) call(from, to *process, timeout time.Duration, serve func(respond func(answer func())), failed func(refused bool)) {
-	c := &call{w: w, from: from, to: to, fromLife: from.life, failed: failed}
+// call sends a request. serve runs at the callee and replies through respond.
+func (w *world) call(from, to *process, timeout time.Duration, serve func(respond func(reply func())), failed func(notSent bool)) {
+	c := &call{w: w, from: from, to: to, fromGeneration: from.generation, failed: failed}
 	if !to.up {
-		w.after(refusalDelay, func() { c.fail(true) })
+		w.after(refusedCallDelay, func() { c.fail(true) })
 		return
 	}
 	w.after(timeout, func() { c.fail(false) })
-	if w.lost(from, to) || w.chance(callLoss) {
+	if w.lost(from, to) || w.chance(callLossRatio) {
 		return
 	}
-	to.connect(c)
-	life := to.life
+	to.trackConnection(c)
+	generation := to.generation
 	w.after(w.latency(from, to), func() {
-		to.run(life, func() { serve(c.respond) })
+		to.run(generation, func() { serve(c.respond) })
 	})
 }
 
 func (c *call) reset() { c.fail(false) }
 
-func (c *call) ended() bool { return c.settled }
+func (c *call) ended() bool { return c.done }
 
-func (c *call) fail(refused bool) {
-	if c.settled {
+func (c *call) fail(notSent bool) {
+	if c.done {
 		return
 	}
-	c.settled = true
-	c.from.run(c.fromLife, func() { c.failed(refused) })
+	c.done = true
+	c.from.run(c.fromGeneration, func() { c.failed(notSent) })
 }
 
-func (c *call) respond(answer func()) {
+func (c *call) respond(reply func()) {
 	if c.w.lost(c.to, c.from) {
 		return
 	}
 	c.w.after(c.w.latency(c.to, c.from), func() {
-		if c.settled {
+		if c.done {
 			return
 		}
-		c.settled = true
-		c.from.run(c.fromLife, answer)
+		c.done = true
+		c.from.run(c.fromGeneration, reply)
 	})
 }
 
-// stream is an ordered connection. Messages wait while the zones are cut from each other, as TCP would have them.
+// stream is an ordered connection. As with TCP, messages wait while a partition separates the zones.
 type stream struct {
-	w        *world
-	from, to *process
-	toLife   int
-	fromLife int
-	waiting  []func()
-	arriveBy time.Duration
-	closed   bool
+	w              *world
+	from, to       *process
+	toGeneration   int
+	fromGeneration int
+	unsent         []func()
+	lastArrival    time.Duration
+	closed         bool
 }
 
 func (w *world) newStream(from, to *process) *stream {
-	return &stream{w: w, from: from, to: to, toLife: to.life, fromLife: from.life}
+	return &stream{w: w, from: from, to: to, toGeneration: to.generation, fromGeneration: from.generation}
 }
 
-func (s *stream) send(arrive func()) {
-	s.waiting = append(s.waiting, arrive)
-	if len(s.waiting) == 1 {
+func (s *stream) send(deliver func()) {
+	s.unsent = append(s.unsent, deliver)
+	if len(s.unsent) == 1 {
 		s.flush()
 	}
 }
 
 func (s *stream) flush() {
-	if s.w.isCut(s.from, s.to) {
-		s.w.after(resendPeriod, s.flush)
+	if s.w.isPartitioned(s.from, s.to) {
+		s.w.after(resendInterval, s.flush)
 		return
 	}
-	for _, arrive := range s.waiting {
-		at := max(s.arriveBy, s.w.now()+s.w.latency(s.from, s.to))
-		s.arriveBy = at
+	for _, deliver := range s.unsent {
+		at := max(s.lastArrival, s.w.now()+s.w.latency(s.from, s.to))
+		s.lastArrival = at
 		s.w.after(at-s.w.now(), func() {
 			if !s.closed {
-				s.to.run(s.toLife, arrive)
+				s.to.run(s.toGeneration, deliver)
 			}
 		})
 	}
-	s.waiting = nil
+	s.unsent = nil
 }
--- a/internal/lab/sim/operators.go
+++ b/internal/lab/sim/operators.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	changeResends = 8
-	changePause   = 2 * time.Second
-	lostAnswer    = 0.15 // share of operators' answers that are lost on the way
-	resendAnyway  = 0.1  // share of answered changes that are sent once more
-	readPeriod    = 700 * time.Millisecond
+	maxChangeResends     = 8
+	changeInterval       = 2 * time.Second
+	lostReplyRatio       = 0.15 // fraction of replies to operators that are lost
+	duplicateChangeRatio = 0.1  // fraction of answered changes that are sent again
+	readInterval         = 700 * time.Millisecond
 )
 
-// operator edits the tree and resends when an answer is lost.
+// operator edits the settings tree and resends a change whose reply is lost.
 type operator struct {
 	*process
-	asker   *asker
+	control *controlClient
 	changes int
 }
 
 func pointer[T any](value T) *T { return &value }
 
-// firstTree is what the operators start from.
-func firstTree() settings.Tree {
+// initialTree returns the settings that the first operator submits.
+func initialTree() settings.Tree {
 	return settings.Tree{Nodes: map[settings.Path]settings.Overrides{
-		"/":   {SuspectAfterMS: pointer(1000), MaxConcurrentLoads: pointer(loadsAtOnce)},
+		"/":   {SuspectAfterMS: pointer(1000), MaxConcurrentLoads: pointer(maxConcurrentLoads)},
 		"/*":  {},
 		"/z3": {WhenCutOff: pointer("serve_last")},
 		"/*/" + modelService: {
@@ -44,102 +44,102 @@
 
 func (o *operator) boot(first bool) {
 	o.start()
-	o.asker = newAsker(o.w, o.process)
-	o.ticker(readPeriod, o.read)
+	o.control = newControlClient(o.w, o.process)
+	o.ticker(readInterval, o.read)
 	if first {
-		o.after(time.Second, o.plant)
+		o.after(time.Second, o.submitInitialTree)
 		return
 	}
-	o.after(4*time.Second, o.edit)
+	o.after(4*time.Second, o.editTree)
 }
 
-// plant makes the first tree as soon as the group takes it, then goes on editing.
-func (o *operator) plant() {
+// submitInitialTree submits the initial tree until a change is accepted, then starts to edit.
+func (o *operator) submitInitialTree() {
 	if o.w.oracle.acknowledged > 0 {
-		o.edit()
+		o.editTree()
 		return
 	}
-	o.submit(0, settings.DiffEdits(settings.NewTree(), firstTree()))
-	o.after(3*time.Second, o.plant)
+	o.submit(0, settings.DiffEdits(settings.NewTree(), initialTree()))
+	o.after(3*time.Second, o.submitInitialTree)
 }
 
-// read looks at the current version; it must never be older than what anybody was told before.
+// read reads the current version, which must not be older than any version acknowledged before the call.
 func (o *operator) read() {
 	floor := o.w.oracle.acknowledged
-	o.asker.once(control.Request{Read: &control.Read{}}, askTimeout, func(response control.Response, answered bool) {
+	o.control.askOnce(control.Request{Read: &control.Read{}}, controlTimeout, func(response control.Response, answered bool) {
 		if answered && response.Read != nil {
 			o.w.oracle.operatorRead(o.name, floor, response.Read)
 		}
 	})
 }
 
-// edit reads the tree, thinks, and changes something.
-func (o *operator) edit() {
+// editTree reads the current version and, after a random delay, submits a change based on it.
+func (o *operator) editTree() {
 	if o.w.now() > activeTime {
 		return
 	}
-	o.after(o.w.between(changePause/2, 2*changePause), o.edit)
-	o.asker.once(control.Request{Read: &control.Read{}}, askTimeout, func(response control.Response, answered bool) {
+	o.after(o.w.between(changeInterval/2, 2*changeInterval), o.editTree)
+	o.control.askOnce(control.Request{Read: &control.Read{}}, controlTimeout, func(response control.Response, answered bool) {
 		if !answered || response.Read == nil || response.Read.Version == 0 {
 			return
 		}
 		base := response.Read.Version
-		o.after(o.w.between(0, 700*time.Millisecond), func() { o.submit(base, o.drawEdits()) })
+		o.after(o.w.between(0, 700*time.Millisecond), func() { o.submit(base, o.randomEdits()) })
 	})
 }
 
-func raw(value any) json.RawMessage {
+func marshal(value any) json.RawMessage {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic("sim: value cannot be written: " + err.Error())
+		panic("sim: cannot encode a setting: " + err.Error())
 	}
 	return data
 }
 
-func (o *operator) drawEdits() []settings.Edit {
-	edits := []settings.Edit{{Path: "/", Setting: "share_weight", Value: raw(1 + o.w.random.IntN(50))}}
+func (o *operator) randomEdits() []settings.Edit {
+	edits := []settings.Edit{{Path: "/", Setting: "share_weight", Value: marshal(1 + o.w.random.IntN(50))}}
 	if o.w.chance(0.3) {
 		weights := fmt.Sprintf("w%d", 1+o.w.random.IntN(3))
-		edits = append(edits, settings.Edit{Path: "/*/" + modelService, Setting: "weights_version", Value: raw(weights)})
+		edits = append(edits, settings.Edit{Path: "/*/" + modelService, Setting: "weights_version", Value: marshal(weights)})
 	}
 	if o.w.chance(0.2) {
-		edits = append(edits, settings.Edit{Path: "/*/" + modelService, Setting: "hedge_after_ms", Value: raw(o.w.random.IntN(2) * 600)})
+		edits = append(edits, settings.Edit{Path: "/*/" + modelService, Setting: "hedge_after_ms", Value: marshal(o.w.random.IntN(2) * 600)})
 	}
 	return edits
 }
 
-// submit sends a change until its outcome is known.
+// submit creates a change and sends it, with a limited number of resends.
 func (o *operator) submit(base uint64, edits []settings.Edit) {
 	o.changes++
 	change := settings.Change{Base: base, OperationID: fmt.Sprintf("%s-%d", o.name, o.changes), Author: o.name, Edits: edits}
 	o.w.oracle.changes++
-	o.send(change, changeResends)
+	o.send(change, maxChangeResends)
 }
 
-func (o *operator) send(change settings.Change, left int) {
-	again := func() {
-		if left > 0 {
-			o.after(o.w.between(50*time.Millisecond, 500*time.Millisecond), func() { o.send(change, left-1) })
+func (o *operator) send(change settings.Change, resendsLeft int) {
+	resend := func() {
+		if resendsLeft > 0 {
+			o.after(o.w.between(50*time.Millisecond, 500*time.Millisecond), func() { o.send(change, resendsLeft-1) })
 		}
 	}
-	o.asker.once(control.Request{Change: &change}, askTimeout, func(response control.Response, answered bool) {
-		if !answered || response.Change == nil || o.w.chance(lostAnswer) {
-			again()
+	o.control.askOnce(control.Request{Change: &change}, controlTimeout, func(response control.Response, answered bool) {
+		if !answered || response.Change == nil || o.w.chance(lostReplyRatio) {
+			resend()
 			return
 		}
-		o.w.oracle.operatorTold(change, *response.Change)
-		if o.w.chance(resendAnyway) {
-			again()
+		o.w.oracle.operatorOutcome(change, *response.Change)
+		if o.w.chance(duplicateChangeRatio) {
+			resend()
 		}
 	})
 }
 
-// flipWeights changes the weights of the model service and nothing else.
+// flipWeights submits a change of only the model service's weights.
 func (o *operator) flipWeights() {
 	base := o.w.oracle.acknowledged
 	if base == 0 {
 		return
 	}
 	weights := fmt.Sprintf("w%d", 1+o.changes%2)
-	o.submit(base, []settings.Edit{{Path: "/*/" + modelService, Setting: "weights_version", Value: raw(weights)}})
+	o.submit(base, []settings.Edit{{Path: "/*/" + modelService, Setting: "weights_version", Value: marshal(weights)}})
 }
