--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -11,60 +11,60 @@
 	"kitetiller/internal/settings"
 )
 
-// Invariant names one must-hold line of the brief.
+// Invariant names a property that must hold in every run.
 type Invariant string
 
-// The invariants, in the order of the brief.
+// Invariants of the whole system.
 const (
-	CacheIsolation Invariant = "cache-isolation"
-	StreamWhole    Invariant = "stream-whole"
-	RestartServes  Invariant = "restart-serves"
-	OwnAnswer      Invariant = "own-answer"
-	NotRunTrue     Invariant = "not-run-true"
-	AtMostOnce     Invariant = "at-most-once"
-	LeavingNoWork  Invariant = "leaving-no-new-work"
-	PlannedStop    Invariant = "planned-stop"
-	SettingsHold   Invariant = "settings-hold"
+	CacheIsolation     Invariant = "cache-isolation"
+	StreamComplete     Invariant = "stream-whole"
+	ServesAfterRestart Invariant = "restart-serves"
+	CorrectResponse    Invariant = "own-answer"
+	NotRunHonored      Invariant = "not-run-true"
+	AtMostOnce         Invariant = "at-most-once"
+	DrainRespected     Invariant = "leaving-no-new-work"
+	PlannedStop        Invariant = "planned-stop"
+	SettingsDurable    Invariant = "settings-hold"
 )
 
-// Rules beside the brief's lines.
+// Additional invariants, of gateways, limits and mixed builds.
 const (
-	HeldBackTrue  Invariant = "held-back"
-	WeightsInTime Invariant = "weights-in-time"
-	RestGiven     Invariant = "rest-given"
-	LimitKept     Invariant = "limit-kept"
-	BuildsKnown   Invariant = "builds-known"
+	QuarantineEnforced       Invariant = "held-back"
+	OldWeightsLimitRespected Invariant = "weights-in-time"
+	BackoffRespected         Invariant = "rest-given"
+	AdvertisedLimitRespected Invariant = "limit-kept"
+	BuildsCompatible         Invariant = "builds-known"
 )
 
-// InvariantHelp describes an invariant and how it is checked.
+// InvariantHelp is the description of an invariant and its check.
 type InvariantHelp struct {
 	Name Invariant
 	Help string
 }
 
-// Invariants lists every invariant with the check that the oracle makes.
+// Invariants returns the invariants of the whole system with their descriptions.
 func Invariants() []InvariantHelp {
 	return []InvariantHelp{
 		{CacheIsolation, "each reused block was computed by this life of the engine, or copied, for the same tenant, weights and text; no job relies on another life"},
-		{StreamWhole, "a caller gets every token once and in order, and an end only after the last"},
-		{RestartServes, "a router with synced settings never refuses for want of settings, nor for want of a lease while control is well"},
-		{OwnAnswer, "each token and answer belongs to the caller's own request, and every request gets a final answer"},
-		{NotRunTrue, "no back end took a request, before or after, that was refused as not run"},
+		{StreamComplete, "a caller gets every token once and in order, and an end only after the last"},
+		{ServesAfterRestart, "a router with synced settings never refuses for want of settings, nor for want of a lease while control is well"},
+		{CorrectResponse, "each token and answer belongs to the caller's own request, and every request gets a final answer"},
+		{NotRunHonored, "no back end took a request, before or after, that was refused as not run"},
 		{AtMostOnce, "no idempotency key runs twice"},
-		{LeavingNoWork, "a back end is sent nothing more than four seconds after the machine list says that it leaves"},
+		{DrainRespected, "a back end is sent nothing more than four seconds after the machine list says that it leaves"},
 		{PlannedStop, "a planned stop ends with no request in flight"},
-		{SettingsHold, "an accepted change is in the history under its own version, is never undone, and no router decides by an older version once it is in force"},
+		{SettingsDurable, "an accepted change is in the history under its own version, is never undone, and no router decides by an older version once it is in force"},
 	}
 }
 
-// FleetRules lists what is checked beside the invariants.
+// FleetRules returns the additional invariants with their descriptions.
 func FleetRules() []InvariantHelp {
 	return []InvariantHelp{
-		{HeldBackTrue, "a request that ends whoever runs it gets three back ends more at the most, once the news of the third had time; one that ends well is never held back"},
-		{WeightsInTime, "no request begins on older weights later than the limit after newer ones were acknowledged, nor after its gateway first heard of them"},
-		{RestGiven, "a back end that asked a gateway or router for rest gets two requests more from it at the most, from half a second later to the end of that time"},
-		{LimitKept, "from 3 s after a back end first named a limit it gets in any 4 s one and a half times what that allows and 5 more at the most, from all gateways or routers together that had heard of it half a second before"},
-		{BuildsKnown, "where control processes run two builds, none holds what its build doesn't know, and no level comes into force under one that runs the older"},
+		{QuarantineEnforced, "a request that ends whoever runs it gets three back ends more at the most, once the news of the third had time; one that ends well is never held back"},
+		{OldWeightsLimitRespected, "no request begins on older weights later than the limit after newer ones were acknowledged, nor after its gateway first heard of them"},
+		{BackoffRespected, "a back end that asked a gateway or router for rest gets two requests more from it at the most, from half a second later to the end of that time"},
+		{AdvertisedLimitRespected, "from 3 s after a back end first named a limit it gets in any 4 s one and a half times what that allows and 5 more at the most, from all gateways or routers together that had heard of it half a second before"},
+		{BuildsCompatible, "where control processes run two builds, none holds what its build doesn't know, and no level comes into force under one that runs the older"},
 	}
 }
 
@@ -76,11 +76,11 @@
 }
 
 const (
-	leavingGrace = 4 * time.Second
-	calmNeeded   = 8 * time.Second // without control faults, after which a router must get its lease
+	drainDispatchGrace = 4 * time.Second
+	recoveryTime       = 8 * time.Second // time without control faults after which a router must have a lease
 )
 
-// oracle is the simple model of what callers and operators saw, and of what back ends did.
+// oracle records what callers, operators and back ends observe, and checks it against the invariants.
 type oracle struct {
 	w         *world
 	violation *Violation
@@ -89,31 +89,31 @@
 	changes   int
 	accepted  int
 
-	runs         map[string]int // by key
-	notRunSends  map[*exchange]bool
-	outcomes     map[string]settings.Outcome // first outcome told, by operation id
-	versions     map[uint64]string           // operation id by accepted version
-	acknowledged uint64                      // highest version anybody was told of
-	inForce      uint64                      // highest version said to be in force
-	routerUsed   map[string]uint64           // newest version a router decided by
-	firstAccept  time.Duration               // when the first change was accepted
-	controlFault time.Duration               // end of the newest fault that may have stopped control
-	fleet        fleetOracle
-	said         saidOracle
-	limits       limitOracle
-	deadly       map[quarantine.Fingerprint]*deadlyRequest
-	deadlies     int
+	runsByKey          map[string]int // number of executions by idempotency key
+	reportedNotRun     map[*exchange]bool
+	outcomes           map[string]settings.Outcome // first outcome reported, by operation ID
+	operationByVersion map[uint64]string           // ID of the accepted operation, by version
+	acknowledged       uint64                      // highest version returned to any operator
+	inForce            uint64                      // highest version reported as in force
+	routerVersions     map[string]uint64           // newest version used, by router
+	firstAccept        time.Duration               // when an operator first saw a change accepted
+	controlFaultEnd    time.Duration               // end of the latest fault that may have interrupted control
+	fleet              fleetOracle
+	signals            signalOracle
+	limits             limitOracle
+	fatalRequests      map[quarantine.Fingerprint]*fatalRequest
+	fatalCount         int
 }
 
 func newOracle(w *world) *oracle {
 	return &oracle{
-		w: w, runs: map[string]int{}, notRunSends: map[*exchange]bool{},
-		outcomes: map[string]settings.Outcome{}, versions: map[uint64]string{}, routerUsed: map[string]uint64{},
-		fleet: newFleetOracle(), said: newSaidOracle(), limits: limitOracle{}, deadly: map[quarantine.Fingerprint]*deadlyRequest{},
+		w: w, runsByKey: map[string]int{}, reportedNotRun: map[*exchange]bool{},
+		outcomes: map[string]settings.Outcome{}, operationByVersion: map[uint64]string{}, routerVersions: map[string]uint64{},
+		fleet: newFleetOracle(), signals: newSignalOracle(), limits: limitOracle{}, fatalRequests: map[quarantine.Fingerprint]*fatalRequest{},
 	}
 }
 
-// fail records the first violation; the run ends there.
+// fail records the first violation, which ends the run.
 func (o *oracle) fail(invariant Invariant, format string, arguments ...any) {
 	if o.violation != nil {
 		return
@@ -122,30 +122,31 @@
 	o.w.logf("VIOLATION %s: %s", invariant, o.violation.Detail)
 }
 
-// engineTook checks a job at the moment an engine takes it.
-func (o *oracle) engineTook(e *engineNode, job *engine.Job, s *sending, result engine.SubmitResult) {
-	run := s.request
-	run.ran = true
-	if o.notRunSends[run] {
-		o.fail(NotRunTrue, "%s took %s, which was refused as not run", e.name, run.job.name)
-	}
-	if job.RelyTokens > 0 && result == engine.Taken && job.Incarnation != e.model.Incarnation {
+// engineAccepted checks a job when an engine accepts it.
+func (o *oracle) engineAccepted(e *engineNode, job *engine.Job, s *activeAttempt, result engine.SubmitResult) {
+	ex := s.request
+	ex.executed = true
+	if o.reportedNotRun[ex] {
+		o.fail(NotRunHonored, "%s accepted %s, which was rejected as not run", e.name, ex.job.name)
+	}
+	if job.ExpectedCachedTokens > 0 && result == engine.Accepted && job.Incarnation != e.model.Incarnation {
 		o.fail(CacheIsolation, "%s, incarnation %d, runs %s relying on %d tokens of incarnation %d",
-			e.name, e.model.Incarnation, run.job.name, job.RelyTokens, job.Incarnation)
+			e.name, e.model.Incarnation, ex.job.name, job.ExpectedCachedTokens, job.Incarnation)
 	}
 }
 
-// checkLeaving checks a send at the moment the router makes it; what was on its way before may arrive late.
-func (o *oracle) checkLeaving(r *routerNode, backend string) {
-	leftAt := o.w.leftAt(backend)
-	if leftAt > 0 && o.w.now() > leftAt+leavingGrace {
-		o.fail(LeavingNoWork, "%s sent new work to %s %v after it was said to leave", r.name, backend, o.w.now()-leftAt)
+// checkDraining checks that a router dispatches nothing to a draining back end. It checks at dispatch, as earlier
+// requests may still be in transit.
+func (o *oracle) checkDraining(r *routerNode, backend string) {
+	leftAt := o.w.drainingSince(backend)
+	if leftAt > 0 && o.w.now() > leftAt+drainDispatchGrace {
+		o.fail(DrainRespected, "%s sent a new request to %s %v after the machine list marked it as draining", r.name, backend, o.w.now()-leftAt)
 	}
 }
 
-// engineReused checks every block that a job reuses against what the block really holds.
-func (o *oracle) engineReused(e *engineNode, s *sending, output engine.Output) {
-	for block := range output.Cached / blockToken {
+// engineReused checks the true content of every cached block that a job reuses.
+func (o *oracle) engineReused(e *engineNode, s *activeAttempt, output engine.Output) {
+	for block := range output.Cached / tokensPerBlock {
 		wanted := s.request.job.content(output.Weights, block)
 		if held, found := e.cached[output.Job.Blocks[block]]; !found || held != wanted {
 			o.fail(CacheIsolation, "%s reuses block %d for %s of %s under %s, but it holds %+v",
@@ -155,108 +156,108 @@
 	}
 }
 
-// engineLoads checks that an engine never carries out an older order after a newer one.
+// engineLoads checks that an engine never executes an older weights order after a newer one.
 func (o *oracle) engineLoads(e *engineNode, call control.EngineCall) {
-	if call.Fence.Less(e.ordered) {
-		o.fail(SettingsHold, "%s loads %s by order %d/%d after order %d/%d",
-			e.name, call.Order.Weights, call.Fence.Term, call.Fence.Sequence, e.ordered.Term, e.ordered.Sequence)
+	if call.Fence.Less(e.lastOrder) {
+		o.fail(SettingsDurable, "%s loads %s by order %d/%d after order %d/%d",
+			e.name, call.Order.Weights, call.Fence.Term, call.Fence.Sequence, e.lastOrder.Term, e.lastOrder.Sequence)
 	}
-	e.ordered = call.Fence
+	e.lastOrder = call.Fence
 }
 
-func (o *oracle) serviceRan(s *serviceNode, run *exchange) {
-	run.ran = true
-	key := run.job.tenant + "/" + run.job.name
-	o.runs[key]++
-	if o.runs[key] > 1 {
-		o.fail(AtMostOnce, "%s ran %d times, now on %s", key, o.runs[key], s.name)
+func (o *oracle) serviceRan(s *serviceNode, ex *exchange) {
+	ex.executed = true
+	key := ex.job.tenant + "/" + ex.job.name
+	o.runsByKey[key]++
+	if o.runsByKey[key] > 1 {
+		o.fail(AtMostOnce, "%s ran %d times, now on %s", key, o.runsByKey[key], s.name)
 	}
-	if o.notRunSends[run] {
-		o.fail(NotRunTrue, "%s ran %s, which was refused as not run", s.name, key)
+	if o.reportedNotRun[ex] {
+		o.fail(NotRunHonored, "%s ran %s, which was rejected as not run", s.name, key)
 	}
 }
 
-// routerFinished checks a final answer at the moment the router gives it.
-func (o *oracle) routerFinished(r *routerNode, run *exchange, final core.ActionFinish) {
+// routerFinished checks a final response when the router sends it.
+func (o *oracle) routerFinished(r *routerNode, ex *exchange, final core.ActionFinish) {
 	if final.Run == core.RunNot {
-		o.notRunSends[run] = true
-		if run.ran || (run.job.small && o.runs[run.job.tenant+"/"+run.job.name] > 0) {
-			o.fail(NotRunTrue, "%s refused %s as not run (%s), but it ran", r.name, run.job.name, final.Reason)
+		o.reportedNotRun[ex] = true
+		if ex.executed || (ex.job.toService && o.runsByKey[ex.job.tenant+"/"+ex.job.name] > 0) {
+			o.fail(NotRunHonored, "%s rejected %s as not run (%s), but it ran", r.name, ex.job.name, final.Reason)
 		}
 	}
 	if final.Reason != core.ReasonNoLease && final.Reason != core.ReasonNoSettings {
 		return
 	}
-	servesLast := r.zone == serveLastZone && r.saved.Version > 0
+	servesLast := r.zone == serveLastZone && r.syncedSettings.Version > 0
 	if servesLast {
-		o.fail(RestartServes, "%s refused %s as %s although it holds settings %d", r.name, run.job.name, final.Reason, r.saved.Version)
+		o.fail(ServesAfterRestart, "%s rejected %s as %s although it has settings version %d", r.name, ex.job.name, final.Reason, r.syncedSettings.Version)
 	}
-	calm := o.accepted > 0 && o.w.now() > max(o.controlFault, r.wokeAt, o.firstAccept)+calmNeeded
-	if calm && r.saved.Version > 0 {
-		o.fail(RestartServes, "%s refused %s as %s while control was well", r.name, run.job.name, final.Reason)
+	recovered := o.accepted > 0 && o.w.now() > max(o.controlFaultEnd, r.resumedAt, o.firstAccept)+recoveryTime
+	if recovered && r.syncedSettings.Version > 0 {
+		o.fail(ServesAfterRestart, "%s rejected %s as %s while control was available", r.name, ex.job.name, final.Reason)
 	}
 }
 
-// routerDispatched checks the settings that a new request is decided by.
-func (o *oracle) routerDispatched(r *routerNode, run *exchange, action core.ActionDispatch) {
-	o.checkLeaving(r, action.Backend)
-	if action.ResumeFrom > run.resumeFrom || r.zone == serveLastZone {
+// routerDispatched checks that a new request is dispatched under settings that are in force.
+func (o *oracle) routerDispatched(r *routerNode, ex *exchange, action core.ActionDispatch) {
+	o.checkDraining(r, action.Backend)
+	if action.ResumeFrom > ex.resumeFrom || r.zone == serveLastZone {
 		return
 	}
 	if action.SettingsVersion < o.inForce {
-		o.fail(SettingsHold, "%s decided on %s by version %d after version %d was in force", r.name, run.job.name, action.SettingsVersion, o.inForce)
+		o.fail(SettingsDurable, "%s dispatched %s under version %d after version %d was in force", r.name, ex.job.name, action.SettingsVersion, o.inForce)
 	}
 }
 
-// routerTicked checks that the version a router uses never goes back, restarts included.
+// routerTicked checks that the settings version a router uses never decreases, also across restarts.
 func (o *oracle) routerTicked(r *routerNode) {
 	version := r.core.SettingsVersion()
 	if version == 0 {
 		return
 	}
-	if used := o.routerUsed[r.name]; version < used {
-		o.fail(SettingsHold, "%s went back from version %d to %d", r.name, used, version)
+	if used := o.routerVersions[r.name]; version < used {
+		o.fail(SettingsDurable, "%s went back from version %d to %d", r.name, used, version)
 	}
-	o.routerUsed[r.name] = version
+	o.routerVersions[r.name] = version
 }
 
-// routerStopped checks a planned stop at its end.
+// routerStopped checks that no request is in flight at the end of a planned stop.
 func (o *oracle) routerStopped(r *routerNode) {
-	if r.stopping && len(r.waiting) > 0 {
-		o.fail(PlannedStop, "%s ends a planned stop with %d requests in flight", r.name, len(r.waiting))
+	if r.stopping && len(r.exchanges) > 0 {
+		o.fail(PlannedStop, "%s ends a planned stop with %d requests in flight", r.name, len(r.exchanges))
 	}
 }
 
-// callerGot checks a token.
-func (o *oracle) callerGot(run *exchange, chunk core.ActionChunk) {
-	wanted := run.job.token(run.next)
+// callerReceived checks the index and text of a token.
+func (o *oracle) callerReceived(ex *exchange, chunk core.ActionChunk) {
+	want := ex.job.token(ex.nextToken)
 	switch {
-	case chunk.Text == wanted && chunk.Index == run.next:
-	case len(chunk.Text) > len(run.job.name) && chunk.Text[:len(run.job.name)+1] == run.job.name+":":
-		o.fail(StreamWhole, "%s got token %d as %q, wanted %q", run.job.name, chunk.Index, chunk.Text, wanted)
+	case chunk.Text == want && chunk.Index == ex.nextToken:
+	case len(chunk.Text) > len(ex.job.name) && chunk.Text[:len(ex.job.name)+1] == ex.job.name+":":
+		o.fail(StreamComplete, "%s got token %d as %q, want %q", ex.job.name, chunk.Index, chunk.Text, want)
 	default:
-		o.fail(OwnAnswer, "%s got %q of another request, wanted %q", run.job.name, chunk.Text, wanted)
+		o.fail(CorrectResponse, "%s got %q of another request, want %q", ex.job.name, chunk.Text, want)
 	}
 }
 
-// callerFinished checks a final answer.
-func (o *oracle) callerFinished(run *exchange, final core.ActionFinish) {
+// callerFinished checks that a completed response is the whole expected one.
+func (o *oracle) callerFinished(ex *exchange, final core.ActionFinish) {
 	if final.Reason != core.ReasonComplete && final.Reason != core.ReasonReplayed {
 		return
 	}
 	o.complete++
-	if run.job.small {
-		if got := answerOf(final.Answer); got != run.job.answer() {
-			o.fail(OwnAnswer, "%s got the answer %q", run.job.name, got)
+	if ex.job.toService {
+		if got := bodyOf(final.Answer); got != ex.job.responseBody() {
+			o.fail(CorrectResponse, "%s got the wrong response %q", ex.job.name, got)
 		}
 		return
 	}
-	if run.next != run.job.maxTokens || final.Tokens != run.job.maxTokens {
-		o.fail(StreamWhole, "%s ended as complete after token %d of %d", run.job.name, run.next, run.job.maxTokens)
+	if ex.nextToken != ex.job.maxTokens || final.Tokens != ex.job.maxTokens {
+		o.fail(StreamComplete, "%s ended as complete after token %d of %d", ex.job.name, ex.nextToken, ex.job.maxTokens)
 	}
 }
 
-// controlAnswered notes what a replica says is in force.
+// controlAnswered records the version that a replica reports as in force.
 func (o *oracle) controlAnswered(n *controlNode, response control.Response) {
 	if response.Read != nil && response.Read.InForce > o.inForce {
 		o.inForce = response.Read.InForce
@@ -264,19 +265,19 @@
 	}
 }
 
-// operatorRead checks that reads are never older than what was known when they began.
+// operatorRead checks that a read returns no version older than floor, the highest acknowledged when it began.
 func (o *oracle) operatorRead(name string, floor uint64, read *control.ReadReply) {
 	if read.Version < floor {
-		o.fail(SettingsHold, "%s read version %d after version %d was accepted", name, read.Version, floor)
+		o.fail(SettingsDurable, "%s read version %d after version %d was accepted", name, read.Version, floor)
 	}
 	o.acknowledged = max(o.acknowledged, read.Version)
 }
 
-// operatorTold checks the outcome of a change against the first one and against all others.
-func (o *oracle) operatorTold(change settings.Change, outcome settings.Outcome) {
+// operatorOutcome checks the outcome of a change against its earlier outcome and against all other accepted changes.
+func (o *oracle) operatorOutcome(change settings.Change, outcome settings.Outcome) {
 	first, known := o.outcomes[change.OperationID]
 	if known && (first.Kind != outcome.Kind || first.Version != outcome.Version) {
-		o.fail(SettingsHold, "%s was told %s at %d, then %s at %d", change.OperationID, first.Kind, first.Version, outcome.Kind, outcome.Version)
+		o.fail(SettingsDurable, "%s got outcome %s at version %d, then %s at version %d", change.OperationID, first.Kind, first.Version, outcome.Kind, outcome.Version)
 	}
 	if known {
 		return
@@ -291,12 +292,12 @@
 	}
 	o.accepted++
 	if outcome.Version != change.Base+1 {
-		o.fail(SettingsHold, "%s edited version %d and became version %d: another change was overwritten", change.OperationID, change.Base, outcome.Version)
+		o.fail(SettingsDurable, "%s edited version %d and became version %d: another change was overwritten", change.OperationID, change.Base, outcome.Version)
 	}
-	if other, taken := o.versions[outcome.Version]; taken {
-		o.fail(SettingsHold, "%s and %s were both accepted as version %d", other, change.OperationID, outcome.Version)
+	if other, taken := o.operationByVersion[outcome.Version]; taken {
+		o.fail(SettingsDurable, "%s and %s were both accepted as version %d", other, change.OperationID, outcome.Version)
 	}
-	o.versions[outcome.Version] = change.OperationID
+	o.operationByVersion[outcome.Version] = change.OperationID
 	o.acknowledged = max(o.acknowledged, outcome.Version)
 	hooks := o.w.onAccept
 	o.w.onAccept = nil
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -11,117 +11,118 @@
 )
 
 const (
-	// restFree is how long after its wish for rest a back end may get requests that were on their way, and restMost how many more until the
-	// rest ends.
-	restFree = 500 * time.Millisecond
-	restMost = 2
-	// leaveFree is how long after a back end said in an answer that it leaves it may get what was on its way.
-	leaveFree = 500 * time.Millisecond
-	// shedAllShare is the share of faults in which all back ends of a service turn requests away together.
-	shedAllShare = 0.3
+	// backoffGrace is how long after asking for backoff a back end may get requests that were in flight;
+	// maxBackoffRequests is how many more it may get until the backoff ends.
+	backoffGrace       = 500 * time.Millisecond
+	maxBackoffRequests = 2
+	// drainGrace is how long after reporting that it drains a back end may get requests that were in flight.
+	drainGrace = 500 * time.Millisecond
+	// rejectAllRatio is the share of faults in which all back ends reject requests together.
+	rejectAllRatio = 0.3
 )
 
-// shedding is a back end's refusal of all that comes, with a wish for rest.
-type shedding struct {
-	until time.Duration
-	rest  time.Duration
+// rejection makes a back end reject all requests and ask for backoff until a time.
+type rejection struct {
+	until   time.Duration
+	backoff time.Duration
 }
 
-// faultShed lets back ends turn requests away for a while and ask for rest.
-func (w *world) faultShed() {
-	until, rest := w.now()+w.between(time.Second, 6*time.Second), w.between(time.Second, 5*time.Second)
-	all := w.chance(shedAllShare)
-	struckEngine, struckBackend := pick(w, w.engines), pick(w, w.backends)
+// faultRejectRequests makes back ends reject requests and ask for backoff for a while.
+func (w *world) faultRejectRequests() {
+	until, backoff := w.now()+w.between(time.Second, 6*time.Second), w.between(time.Second, 5*time.Second)
+	all := w.chance(rejectAllRatio)
+	targetEngine, targetBackend := pick(w, w.engines), pick(w, w.backends)
 	for _, e := range w.engines {
-		if all || e == struckEngine {
-			e.shed = shedding{until, rest}
+		if all || e == targetEngine {
+			e.shed = rejection{until, backoff}
 		}
 	}
 	for _, b := range w.backends {
-		if all || b == struckBackend {
-			b.shed = shedding{until, rest}
+		if all || b == targetBackend {
+			b.rejecting = rejection{until, backoff}
 		}
 	}
 }
 
-// sheds returns for how long a back end wants rest, or 0 when it takes requests.
-func (s shedding) sheds(now time.Duration) time.Duration {
+// requestedBackoff returns the backoff that a back end asks for, or 0 if it accepts requests.
+func (s rejection) requestedBackoff(now time.Duration) time.Duration {
 	if now < s.until {
-		return s.rest
+		return s.backoff
 	}
 	return 0
 }
 
-// pair is one life of a process that sends and one life of a back end.
-type pair struct{ sender, backend string }
+// senderBackend is an incarnation of a sender and an incarnation of a back end.
+type senderBackend struct{ sender, backend string }
 
-func pairOf(sender *process, backend string) pair {
-	return pair{fmt.Sprintf("%s#%d", sender.name, sender.life), backend}
+func pairOf(sender *process, backend string) senderBackend {
+	return senderBackend{fmt.Sprintf("%s#%d", sender.name, sender.generation), backend}
 }
 
-// restWindow is the part of one rest in which requests count.
-type restWindow struct {
+// backoffWindow is the part of a backoff in which requests are counted.
+type backoffWindow struct {
 	from, until time.Duration
-	got         int
+	requests    int
 }
 
-// saidOracle is what back ends were heard to say of themselves.
-type saidOracle struct {
-	rests map[pair][]*restWindow
-	left  map[pair]time.Duration // when it was first heard that the back end leaves
+// signalOracle records the signals that senders received from back ends.
+type signalOracle struct {
+	backoffs      map[senderBackend][]*backoffWindow
+	drainingSince map[senderBackend]time.Duration // when the sender first learned of it
 }
 
-func newSaidOracle() saidOracle {
-	return saidOracle{rests: map[pair][]*restWindow{}, left: map[pair]time.Duration{}}
+func newSignalOracle() signalOracle {
+	return signalOracle{backoffs: map[senderBackend][]*backoffWindow{}, drainingSince: map[senderBackend]time.Duration{}}
 }
 
-// heard notes that a process has an answer in which a back end speaks of itself. Its clock may run fast.
-func (o *oracle) heard(p pair, said pushback.Signals) {
+// recordSignals records the signals in a response that a process received. The backoff is shortened by clockSkew, as the
+// process's clock may run fast.
+func (o *oracle) recordSignals(p senderBackend, signals pushback.Signals) {
 	now := o.w.now()
-	if said.Backoff > 0 {
-		end := now + time.Duration(float64(said.Backoff)/(1+clockSkew))
-		o.said.rests[p] = append(o.said.rests[p], &restWindow{from: now + restFree, until: end})
+	if signals.Backoff > 0 {
+		end := now + time.Duration(float64(signals.Backoff)/(1+clockSkew))
+		o.signals.backoffs[p] = append(o.signals.backoffs[p], &backoffWindow{from: now + backoffGrace, until: end})
 	}
-	if _, known := o.said.left[p]; said.Draining && !known {
-		o.said.left[p] = now
+	if _, known := o.signals.drainingSince[p]; signals.Draining && !known {
+		o.signals.drainingSince[p] = now
 	}
 }
 
-// sends checks a request at the moment it is sent.
-func (o *oracle) sends(p pair) {
+// checkSend checks a request against the received signals when it is sent.
+func (o *oracle) checkSend(p senderBackend) {
 	now := o.w.now()
-	for _, window := range o.said.rests[p] {
+	for _, window := range o.signals.backoffs[p] {
 		if now <= window.from || now >= window.until {
 			continue
 		}
-		if window.got++; window.got > restMost {
-			o.fail(RestGiven, "%s sent %s %d requests in a rest that ends in %v", p.sender, p.backend, window.got, window.until-now)
+		if window.requests++; window.requests > maxBackoffRequests {
+			o.fail(BackoffRespected, "%s sent %s %d requests in a backoff that ends in %v", p.sender, p.backend, window.requests, window.until-now)
 		}
 	}
-	if at, left := o.said.left[p]; left && now > at+leaveFree {
-		o.fail(LeavingNoWork, "%s sent new work to %s %v after that one had said that it leaves", p.sender, p.backend, now-at)
+	if at, left := o.signals.drainingSince[p]; left && now > at+drainGrace {
+		o.fail(DrainRespected, "%s sent a new request to %s %v after that one had reported that it drains", p.sender, p.backend, now-at)
 	}
 }
 
-// barred reports whether the back end itself wants no request from this gateway.
-func (g *fleetGateway) barred(entry control.RosterEntry) bool {
-	bar, now := g.pushed.Restriction(g.clock(), catalog.ParseInstanceID(entry.ID)), g.clock()
-	return bar.IsBackingOff(now) && g.w.guards.On(guard.BackoffCheck) || bar.Draining && g.w.guards.On(guard.LeavingSelfReported)
+// isRestricted reports whether the back end asked this gateway for backoff or reported that it drains.
+func (g *fleetGateway) isRestricted(entry control.RosterEntry) bool {
+	restriction, now := g.signals.Restriction(g.clock(), catalog.ParseInstanceID(entry.ID)), g.clock()
+	return restriction.IsBackingOff(now) && g.w.guards.On(guard.BackoffCheck) || restriction.Draining && g.w.guards.On(guard.LeavingSelfReported)
 }
 
-// hear takes up what a back end says of itself in the answer to a request that was sent at a time. The gateway knows only whom it meant to ask,
-// not which life answered.
-func (g *fleetGateway) hear(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (turnedAway bool) {
-	said := pushback.Signals{Backoff: b.shed.sheds(g.w.now()), Draining: b.draining, Limit: b.need.limit(g.w.now())}
-	g.w.oracle.heard(pairOf(g.process, b.id), said)
-	g.pushed.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), said, g.w.random.Float64())
-	if said.Limit.Advertised {
-		g.w.oracle.heardLimit(pairOf(g.process, b.id), b.need)
+// observeResponse records a back end's signals in the response to a request. The gateway attributes them to the
+// incarnation that it meant to call; it doesn't know which one responded.
+func (g *fleetGateway) observeResponse(sentAt time.Duration, entry control.RosterEntry, b *fleetBackend) (rejected bool) {
+	signals := pushback.Signals{Backoff: b.rejecting.requestedBackoff(g.w.now()), Draining: b.draining, Limit: b.advertised.limit(g.w.now())}
+	g.w.oracle.recordSignals(pairOf(g.process, b.id), signals)
+	g.signals.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), signals, g.w.random.Float64())
+	if signals.Limit.Advertised {
+		g.w.oracle.recordLimit(pairOf(g.process, b.id), b.advertised)
 	} else {
-		g.pushed.ObserveNoLimit(g.clock(), sent, catalog.ParseInstanceID(entry.ID))
+		g.signals.ObserveNoLimit(g.clock(), sentAt, catalog.ParseInstanceID(entry.ID))
 	}
-	return said.Backoff > 0
+	return signals.Backoff > 0
 }
 
-// today is the time of day by which back ends tell when they were started.
+// today returns the wall-clock time by which back ends report their start time.
 func (w *world) today() time.Time { return time.UnixMilli(1 + w.now().Milliseconds()) }
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -9,24 +9,24 @@
 	"kitetiller/internal/prefix"
 )
 
-// noGuardOff is the set with every protection on.
-var noGuardOff = guard.Set{}
+// allGuardsOn is the guard set with every protection on.
+var allGuardsOn = guard.Set{}
 
 const (
-	engineCount  = 4
-	serviceCount = 2
-	operatorsNum = 2
-	spareShare   = 0.4 // share of seeds with a spare control replica
-	seedStream   = 11
+	engineCount       = 4
+	serviceCount      = 2
+	operatorCount     = 2
+	spareReplicaRatio = 0.4 // fraction of seeds with a spare control replica
+	seedStream        = 11
 )
 
 // zones are the zones of the simulated site, each with a control replica, a router and back ends.
 var zones = []string{"z1", "z2", "z3"}
 
-// Result is what one seed gave.
+// Result is the outcome of one seed.
 type Result struct {
 	Seed      uint64
-	Violation *Violation // nil when everything held
+	Violation *Violation // nil if every invariant held
 	Faults    int
 	Requests  int
 	Complete  int
@@ -39,7 +39,7 @@
 	return newWorld(seed, guards, trace).finish()
 }
 
-// finish runs a world to its end and checks that it came to rest.
+// finish runs the world to its end and checks that it converged after all faults were removed.
 func (w *world) finish() Result {
 	for w.step(activeTime) {
 	}
@@ -48,8 +48,8 @@
 	for w.step(RunLength) {
 	}
 	w.clock.Set(RunLength)
-	w.oracle.checkRest()
-	w.oracle.checkFleetRest()
+	w.oracle.checkSettled()
+	w.oracle.checkFleetSettled()
 	return Result{
 		Seed: w.seed, Violation: w.oracle.violation, Faults: w.faults, Requests: w.oracle.requests,
 		Complete: w.oracle.complete, Changes: w.oracle.changes, Accepted: w.oracle.accepted,
@@ -57,23 +57,25 @@
 }
 
 func newWorld(seed uint64, guards guard.Set, trace io.Writer) *world {
-	return newWorldOf(fleetGateways, seed, guards, trace)
+	return newWorldWithGateways(fleetGateways, seed, guards, trace)
 }
 
-// RunLarge runs one seed with so many gateways, which control's replicas answer for the leader.
+// RunLarge runs one seed with the given number of gateways. If it exceeds the default, control replicas answer
+// gateways on behalf of the leader.
 func RunLarge(gateways int, seed uint64, guards guard.Set) Result {
-	return newWorldOf(gateways, seed, guards, nil).finish()
+	return newWorldWithGateways(gateways, seed, guards, nil).finish()
 }
 
-// newWorldOf makes a world with so many gateways. In every other one, and with more than usual, replicas answer them for the leader.
-func newWorldOf(gateways int, seed uint64, guards guard.Set, trace io.Writer) *world {
+// newWorldWithGateways creates a world with the given number of gateways. For even seeds, and with more gateways
+// than the default, control replicas answer gateways on behalf of the leader.
+func newWorldWithGateways(gateways int, seed uint64, guards guard.Set, trace io.Writer) *world {
 	w := &world{seed: seed, random: rand.New(rand.NewPCG(seed, seedStream)), guards: guards, trace: trace, gatewayCount: gateways}
-	w.relayed = seed%2 == 0 || gateways > fleetGateways
-	w.tellsLives = seed/2%2 == 0
-	w.network.cut = map[[2]string]int{}
+	w.relaysWatches = seed%2 == 0 || gateways > fleetGateways
+	w.reportsStartTime = seed/2%2 == 0
+	w.network.partitioned = map[[2]string]int{}
 	w.oracle = newOracle(w)
-	w.hasher = prefix.NewHasher([prefix.KeyBytes]byte{1}, blockToken, guards)
-	w.makeNodes()
+	w.hasher = prefix.NewHasher([prefix.KeyBytes]byte{1}, tokensPerBlock, guards)
+	w.createNodes()
 	w.platform.boot()
 	for _, e := range w.engines {
 		e.boot()
@@ -82,7 +84,7 @@
 		s.boot()
 	}
 	w.planBuilds()
-	w.found()
+	w.createGroup()
 	for _, r := range w.routers {
 		r.boot()
 	}
@@ -92,14 +94,14 @@
 		o.boot(i == 0)
 	}
 	w.planFaults()
-	w.planNeeds()
+	w.planAdvertisedLimits()
 	return w
 }
 
-// makeNodes lays the processes out over the zones.
-func (w *world) makeNodes() {
+// createNodes creates the processes and distributes them over the zones.
+func (w *world) createNodes() {
 	controls := groupSize
-	if w.chance(spareShare) {
+	if w.chance(spareReplicaRatio) {
 		controls++
 	}
 	for i := range controls {
@@ -117,35 +119,35 @@
 	w.makeFleet()
 	w.platform = &platform{process: newProcess(w, "platform", platformZone)}
 	w.callers = &callers{process: newProcess(w, "callers", callerZone)}
-	for i := range operatorsNum {
+	for i := range operatorCount {
 		w.operators = append(w.operators, &operator{process: newProcess(w, fmt.Sprintf("operator-%d", i+1), callerZone)})
 	}
 }
 
-// healAll ends every fault.
+// healAll removes every fault and restarts all processes that are down.
 func (w *world) healAll() {
-	w.logf("all faults heal")
-	w.network.cut = map[[2]string]int{}
-	w.network.badUntil = 0
-	w.onAccept, w.onNamed = nil, nil
-	w.mischief = mischief{}
+	w.logf("all faults are removed")
+	w.network.partitioned = map[[2]string]int{}
+	w.network.degradedUntil = 0
+	w.onAccept, w.onPublished = nil, nil
+	w.pending = pendingFaults{}
 	w.platform.omitted = map[string]bool{}
 	for _, n := range w.controls {
-		n.thaw()
+		n.resume()
 		w.restartControl(n, 0)
 	}
 	w.healFleet()
 	for _, r := range w.routers {
-		r.thaw()
+		r.resume()
 		w.restart(r, 0)
 	}
 	for _, e := range w.engines {
-		e.thaw()
-		e.leftAt = 0
+		e.resume()
+		e.drainingSince = 0
 		w.restart(e, 0)
 	}
 	for _, s := range w.services {
-		s.leftAt = 0
+		s.drainingSince = 0
 		w.restart(s, 0)
 	}
 }
--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -6,88 +6,88 @@
 	"kitetiller/internal/settings"
 )
 
-// checkRest checks, after all faults have healed, that everything came to rest where it must.
-func (o *oracle) checkRest() {
+// checkSettled checks that the system has converged to the required state after all faults were removed.
+func (o *oracle) checkSettled() {
 	if o.violation != nil {
 		return
 	}
 	leader := o.w.leader()
 	if leader == nil {
-		o.fail(SettingsHold, "no control replica leads %v after all faults have healed", settleTime)
+		o.fail(SettingsDurable, "no control replica leads %v after all faults were removed", settleTime)
 		return
 	}
 	o.checkMembers(leader)
 	o.checkHistory(leader)
 	o.checkRouters(leader)
 	o.checkEngines(leader)
-	o.checkAnswered()
+	o.checkResponses()
 }
 
-// checkMembers checks that every replica belongs to the group again: one that was replaced while it was away must come back
-// as a spare, or the group runs out of them.
+// checkMembers checks that every replica is a member of the group. One that was replaced while it was down must
+// rejoin as a spare.
 func (o *oracle) checkMembers(leader *controlNode) {
 	membership := leader.replica.Node().Membership()
 	for _, n := range o.w.controls {
 		if _, member := membership.Find(n.identity.ID); !member {
-			o.fail(SettingsHold, "%s (%s) is no member of the group any more", n.name, n.identity.ID)
+			o.fail(SettingsDurable, "%s (%s) is no longer a member of the group", n.name, n.identity.ID)
 			return
 		}
 	}
 }
 
-// checkHistory compares the final history with what operators were told.
+// checkHistory checks that the final history matches the outcomes that operators received.
 func (o *oracle) checkHistory(leader *controlNode) {
 	final := leader.replica.Machine().Settings()
 	if final.Version() < o.acknowledged {
-		o.fail(SettingsHold, "the tree is at version %d after version %d was accepted", final.Version(), o.acknowledged)
+		o.fail(SettingsDurable, "the tree is at version %d after version %d was accepted", final.Version(), o.acknowledged)
 		return
 	}
-	inHistory := map[string]uint64{}
+	versionByOperation := map[string]uint64{}
 	for _, entry := range final.History() {
-		inHistory[entry.OperationID] = entry.Version
+		versionByOperation[entry.OperationID] = entry.Version
 	}
 	for _, id := range sortedOperations(o.outcomes) {
 		outcome := o.outcomes[id]
-		version, found := inHistory[id]
+		version, found := versionByOperation[id]
 		accepted := outcome.Kind == settings.OutcomeAccepted
 		if found != accepted || (found && version != outcome.Version) {
-			o.fail(SettingsHold, "%s was told %s at version %d, the history has it at %d", id, outcome.Kind, outcome.Version, version)
+			o.fail(SettingsDurable, "%s got outcome %s at version %d, but the history has it at version %d", id, outcome.Kind, outcome.Version, version)
 			return
 		}
 	}
 }
 
-// checkRouters checks that the newest version is in use everywhere.
+// checkRouters checks that every router has a valid lease and uses the newest settings, which are in force.
 func (o *oracle) checkRouters(leader *controlNode) {
 	newest := leader.replica.Machine().Settings().Version()
 	for _, r := range o.w.routers {
 		if r.core.SettingsVersion() != newest || !r.core.LeaseValid() {
-			o.fail(SettingsHold, "%s uses version %d, lease=%v, while version %d is the newest", r.name, r.core.SettingsVersion(), r.core.LeaseValid(), newest)
+			o.fail(SettingsDurable, "%s uses version %d, lease=%v, while version %d is the newest", r.name, r.core.SettingsVersion(), r.core.LeaseValid(), newest)
 			return
 		}
 	}
 	if inForce := leader.replica.InForce(leader.clock()); inForce != newest {
-		o.fail(SettingsHold, "version %d is in force, version %d is the newest", inForce, newest)
+		o.fail(SettingsDurable, "version %d is in force, version %d is the newest", inForce, newest)
 	}
 }
 
-// checkEngines checks that every engine holds the weights that the tree wants.
+// checkEngines checks that every engine has loaded the weights that the settings specify.
 func (o *oracle) checkEngines(leader *controlNode) {
 	tree := leader.replica.Machine().Settings().Tree()
 	for _, e := range o.w.engines {
 		wanted := tree.Resolve(e.zone, modelService).WeightsVersion
 		if e.model.Weights != wanted {
-			o.fail(SettingsHold, "%s holds weights %s, the tree wants %s", e.name, e.model.Weights, wanted)
+			o.fail(SettingsDurable, "%s has weights %s, the settings specify %s", e.name, e.model.Weights, wanted)
 			return
 		}
 	}
 }
 
-// checkAnswered checks that no caller still waits.
-func (o *oracle) checkAnswered() {
-	for _, run := range o.w.callers.open {
-		if !run.over {
-			o.fail(OwnAnswer, "%s, sent to %s, was never answered", run.job.name, run.router.name)
+// checkResponses checks that every exchange has finished.
+func (o *oracle) checkResponses() {
+	for _, ex := range o.w.callers.exchanges {
+		if !ex.finished {
+			o.fail(CorrectResponse, "%s, sent to %s, got no final response", ex.job.name, ex.router.name)
 			return
 		}
 	}
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	// relayChunk is how much is passed on at once.
-	relayChunk = 32 << 10
-	// dialTimeout is how long the far side may take to accept.
+	// copyBufferSize is the size of the buffer of each direction of a connection.
+	copyBufferSize = 32 << 10
+	// dialTimeout bounds the time to connect to a target.
 	dialTimeout = 2 * time.Second
-	// heldPoll is how often a held connection looks whether it may go on.
-	heldPoll = 10 * time.Millisecond
+	// blockedPollInterval is how often a blocked connection checks whether its link has been unblocked.
+	blockedPollInterval = 10 * time.Millisecond
 )
 
-// Link names the direction from one process to another.
+// Link is the direction from one process to another, by name.
 type Link struct{ From, To string }
 
-// Proxy carries connections between processes. It is safe for concurrent use.
+// Proxy forwards TCP connections between processes and injects network faults. It is safe for concurrent use.
 type Proxy struct {
-	owner func(net.Conn) string // process that opened a connection that came to us, or ""
-
-	mu        sync.Mutex
-	silent    map[Link]int           // faults that hold what travels; guarded by mu
-	delays    map[Link]time.Duration // guarded by mu
-	open      map[*relay]struct{}    // guarded by mu
-	listeners []net.Listener         // guarded by mu
-	threads   sync.WaitGroup
-	done      chan struct{}
+	owner func(net.Conn) string // returns the name of the process that opened an accepted connection, or ""
+
+	mu         sync.Mutex
+	blocked    map[Link]int              // number of active Block calls; guarded by mu
+	delays     map[Link]time.Duration    // guarded by mu
+	conns      map[*proxiedConn]struct{} // guarded by mu
+	listeners  []net.Listener            // guarded by mu
+	goroutines sync.WaitGroup
+	done       chan struct{}
 }
 
-// relay is one connection that is carried.
-type relay struct {
+// proxiedConn is a forwarded connection: near was accepted from the opener, far is the connection to the target.
+type proxiedConn struct {
 	from, to  string
 	near, far net.Conn
 }
 
-// NewProxy returns a proxy; owner names the process that opened a connection.
+// NewProxy returns a proxy; owner returns the name of the process that opened an accepted connection, or "".
 func NewProxy(owner func(net.Conn) string) *Proxy {
 	return &Proxy{
-		owner: owner, silent: map[Link]int{}, delays: map[Link]time.Duration{}, open: map[*relay]struct{}{}, done: make(chan struct{}),
+		owner: owner, blocked: map[Link]int{}, delays: map[Link]time.Duration{}, conns: map[*proxiedConn]struct{}{}, done: make(chan struct{}),
 	}
 }
 
-// Carry listens at an address and passes connections on to a process's own one.
-func (p *Proxy) Carry(address, to, target string) error {
+// Forward listens on an address and forwards accepted connections to the target address, which belongs to process to.
+func (p *Proxy) Forward(address, to, target string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return eris.Wrapf(err, "listen on %s for %s", address, to)
@@ -56,23 +56,23 @@
 	p.mu.Lock()
 	p.listeners = append(p.listeners, listener)
 	p.mu.Unlock()
-	p.threads.Go(func() {
+	p.goroutines.Go(func() {
 		for {
 			near, err := listener.Accept()
 			if err != nil {
-				return // closed
+				return // the listener was closed
 			}
-			p.threads.Go(func() { p.carry(near, to, target) })
+			p.goroutines.Go(func() { p.handle(near, to, target) })
 		}
 	})
 	return nil
 }
 
-// carry passes one connection on, in both directions, until one side ends.
-func (p *Proxy) carry(near net.Conn, to, target string) {
+// handle forwards one accepted connection in both directions until both have ended.
+func (p *Proxy) handle(near net.Conn, to, target string) {
 	defer near.Close()
 	from := p.owner(near)
-	if !p.mayPass(Link{from, to}) || !p.mayPass(Link{to, from}) {
+	if !p.waitForLink(Link{from, to}) || !p.waitForLink(Link{to, from}) {
 		return
 	}
 	far, err := net.DialTimeout("tcp", target, dialTimeout)
@@ -80,25 +80,26 @@
 		return
 	}
 	defer far.Close()
-	r := &relay{from: from, to: to, near: near, far: far}
+	c := &proxiedConn{from: from, to: to, near: near, far: far}
 	p.mu.Lock()
-	p.open[r] = struct{}{}
+	p.conns[c] = struct{}{}
 	p.mu.Unlock()
-	var ways sync.WaitGroup
-	ways.Go(func() { p.pass(near, far, Link{from, to}) })
-	ways.Go(func() { p.pass(far, near, Link{to, from}) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copyDirection(near, far, Link{from, to}) })
+	directions.Go(func() { p.copyDirection(far, near, Link{to, from}) })
+	directions.Wait()
 	p.mu.Lock()
-	delete(p.open, r)
+	delete(p.conns, c)
 	p.mu.Unlock()
 }
 
-// pass copies one direction, and ends it at the other side as it ended here.
-func (p *Proxy) pass(from, to net.Conn, link Link) {
-	buffer := make([]byte, relayChunk)
+// copyDirection copies data from one connection to the other and propagates how it ends: EOF as a half-close, errors as
+// a reset.
+func (p *Proxy) copyDirection(from, to net.Conn, link Link) {
+	buffer := make([]byte, copyBufferSize)
 	for {
 		count, err := from.Read(buffer)
-		if count > 0 && p.mayPass(link) {
+		if count > 0 && p.waitForLink(link) {
 			if _, writeErr := to.Write(buffer[:count]); writeErr != nil {
 				_ = from.Close()
 				return
@@ -107,7 +108,7 @@
 		if err == nil {
 			continue
 		}
-		if err == io.EOF && p.mayPass(link) {
+		if err == io.EOF && p.waitForLink(link) {
 			_ = to.(*net.TCPConn).CloseWrite()
 			return
 		}
@@ -116,7 +117,7 @@
 	}
 }
 
-// abort ends a connection with a reset.
+// abort closes a connection with a TCP reset.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -124,8 +125,9 @@
 	_ = c.Close()
 }
 
-// mayPass waits for a link's delay, and as long as the link is silent; it is false once the proxy ends.
-func (p *Proxy) mayPass(link Link) bool {
+// waitForLink waits for the link's delay and while the link is blocked. It returns false if the proxy is closed while
+// it is blocked.
+func (p *Proxy) waitForLink(link Link) bool {
 	p.mu.Lock()
 	delay := p.delays[link]
 	p.mu.Unlock()
@@ -134,45 +136,45 @@
 	}
 	for {
 		p.mu.Lock()
-		silent := p.silent[link] > 0
+		blocked := p.blocked[link] > 0
 		p.mu.Unlock()
-		if !silent {
+		if !blocked {
 			return true
 		}
 		select {
 		case <-p.done:
 			return false
-		case <-time.After(heldPoll):
+		case <-time.After(blockedPollInterval):
 		}
 	}
 }
 
-// Silence holds what travels on a link, as often as Heal is called for it.
-func (p *Proxy) Silence(link Link) {
+// Block holds back data on a link until Unblock has been called as often as Block.
+func (p *Proxy) Block(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silent[link]++
+	p.blocked[link]++
 }
 
-// Heal takes one Silence back.
-func (p *Proxy) Heal(link Link) {
+// Unblock reverts one call of Block.
+func (p *Proxy) Unblock(link Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silent[link]--
+	p.blocked[link]--
 }
 
-// Delay makes everything on a link take so much longer; 0 ends that.
+// Delay sets the delay added to each chunk of data on a link; 0 removes it.
 func (p *Proxy) Delay(link Link, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delays[link] = delay
 }
 
-// Reset ends the connections between two processes with resets, whoever opened them.
+// Reset resets all connections between two processes, whichever opened them.
 func (p *Proxy) Reset(a, b string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for r := range p.open {
+	for r := range p.conns {
 		if r.from == a && r.to == b || r.from == b && r.to == a {
 			abort(r.near)
 			abort(r.far)
@@ -180,17 +182,17 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes the listeners, resets all connections and waits for the proxy's goroutines.
 func (p *Proxy) Close() {
 	close(p.done)
 	p.mu.Lock()
 	for _, listener := range p.listeners {
 		_ = listener.Close()
 	}
-	for r := range p.open {
+	for r := range p.conns {
 		abort(r.near)
 		abort(r.far)
 	}
 	p.mu.Unlock()
-	p.threads.Wait()
+	p.goroutines.Wait()
 }
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -7,119 +7,120 @@
 	"time"
 )
 
-// Fleet is what faults strike.
+// Fleet is the set of processes, links and actions that faults apply to.
 type Fleet struct {
 	Control  []*Process
 	Gateways []*Process
 	Proxy    *Proxy
-	// Leader returns the number of the control process that seems to lead.
+	// Leader returns the index in Control of the presumed leader.
 	Leader func() int
-	// KillWorker ends a worker and starts it again as another life after a time; Heat makes a tenant send many times its usual;
-	// Lower lowers a tenant's limit for a time; Change replaces the document by one that differs in nothing that matters; Deadly lets a
-	// request come again and again that ends each worker that begins to run it; Forge lets another writer send heartbeats that can't be read
-	// in full; Shed lets workers turn requests away and ask for rest; Leave lets one say in its answers that it leaves, and another life follow; Need lets
-	// workers name a limit of requests.
-	KillWorker func(ctx context.Context, target int, length time.Duration)
-	Heat       func(ctx context.Context, target int, length time.Duration)
-	Lower      func(ctx context.Context, target int, length time.Duration)
-	Change     func(ctx context.Context)
-	Deadly     func(ctx context.Context, target int, length time.Duration)
-	Forge      func(ctx context.Context, target int, length time.Duration)
-	Shed       func(ctx context.Context, target int, length time.Duration)
-	Leave      func(ctx context.Context, target int, length time.Duration)
-	Need       func(ctx context.Context, target int, length time.Duration)
+	// KillWorker kills a worker and restarts it as a new incarnation after a time; OverloadTenant multiplies a tenant's
+	// request rate; LowerLimit lowers a tenant's limit for a time; ChangeSetting writes a settings document that
+	// differs without effect; SendFatalRequests repeats a request that crashes each worker that runs it;
+	// ForgeHeartbeats sends heartbeats of an unknown sender that can be decoded only in part; RejectRequests makes
+	// workers reject requests and ask for backoff; DrainWorker makes a worker announce its shutdown in responses and
+	// then restarts it as a new incarnation; AdvertiseLimits makes workers advertise a request rate limit.
+	KillWorker        func(ctx context.Context, target int, duration time.Duration)
+	OverloadTenant    func(ctx context.Context, target int, duration time.Duration)
+	LowerLimit        func(ctx context.Context, target int, duration time.Duration)
+	ChangeSetting     func(ctx context.Context)
+	SendFatalRequests func(ctx context.Context, target int, duration time.Duration)
+	ForgeHeartbeats   func(ctx context.Context, target int, duration time.Duration)
+	RejectRequests    func(ctx context.Context, target int, duration time.Duration)
+	DrainWorker       func(ctx context.Context, target int, duration time.Duration)
+	AdvertiseLimits   func(ctx context.Context, target int, duration time.Duration)
 }
 
-// delayed is how much longer things take on links that are delayed.
-const delayed = 40 * time.Millisecond
+// linkDelay is the delay that DelayLinks adds to each link.
+const linkDelay = 40 * time.Millisecond
 
-// Play lets a plan's faults strike, and returns once all have healed. When ctx ends, faults heal at once.
-func (f *Fleet) Play(ctx context.Context, plan Plan, began time.Time, told func(Fault)) {
+// Play injects the faults of a plan and returns once all have healed. Faults heal at once when ctx is done.
+func (f *Fleet) Play(ctx context.Context, plan Plan, start time.Time, onStart func(Fault)) {
 	var faults sync.WaitGroup
 	for _, fault := range plan.Faults {
 		faults.Go(func() {
-			if !Rest(ctx, time.Until(began.Add(fault.At()))) {
+			if !Sleep(ctx, time.Until(start.Add(fault.At()))) {
 				return
 			}
-			told(fault)
-			f.strike(ctx, fault)
+			onStart(fault)
+			f.inject(ctx, fault)
 		})
 	}
 	faults.Wait()
 }
 
-// Rest waits, and is false when ctx ended first.
-func Rest(ctx context.Context, length time.Duration) bool {
+// Sleep waits for a duration and returns false if ctx is done first.
+func Sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(length):
+	case <-time.After(duration):
 		return true
 	}
 }
 
-// strike makes one fault and heals it.
-func (f *Fleet) strike(ctx context.Context, fault Fault) {
-	length := time.Duration(fault.ForMS) * time.Millisecond
+// inject applies a fault, waits for its duration and reverts it.
+func (f *Fleet) inject(ctx context.Context, fault Fault) {
+	duration := time.Duration(fault.ForMS) * time.Millisecond
 	gateway := f.Gateways[fault.Target%len(f.Gateways)]
 	switch fault.Kind {
 	case KillGateway:
-		f.down(ctx, length, syscall.SIGKILL, gateway)
+		f.stopFor(ctx, duration, syscall.SIGKILL, gateway)
 	case StopGateway:
-		f.down(ctx, length, syscall.SIGTERM, gateway)
+		f.stopFor(ctx, duration, syscall.SIGTERM, gateway)
 	case KillControl:
-		f.down(ctx, length, syscall.SIGKILL, f.Control[fault.Target%len(f.Control)])
+		f.stopFor(ctx, duration, syscall.SIGKILL, f.Control[fault.Target%len(f.Control)])
 	case KillAll:
-		f.down(ctx, length, syscall.SIGKILL, f.all()...)
+		f.stopFor(ctx, duration, syscall.SIGKILL, f.allProcesses()...)
 	case PauseGateway:
-		f.pause(ctx, length, gateway)
+		f.pause(ctx, duration, gateway)
 	case PauseLeader:
-		f.pause(ctx, length, f.Control[f.Leader()])
+		f.pause(ctx, duration, f.Control[f.Leader()])
 	case CutLeader:
-		f.silence(ctx, length, f.linksOf(f.Control[f.Leader()], f.all(), true))
+		f.block(ctx, duration, f.linksOf(f.Control[f.Leader()], f.allProcesses(), true))
 	case CutOneWay:
-		f.silence(ctx, length, f.linksOf(f.Control[f.Leader()], f.all(), false))
+		f.block(ctx, duration, f.linksOf(f.Control[f.Leader()], f.allProcesses(), false))
 	case CutGateway:
-		f.silence(ctx, length, f.linksOf(gateway, f.Control, true))
+		f.block(ctx, duration, f.linksOf(gateway, f.Control, true))
 	case DelayLinks:
-		f.delay(ctx, length, f.linksOf(gateway, f.all(), true))
+		f.delay(ctx, duration, f.linksOf(gateway, f.allProcesses(), true))
 	case ResetLinks:
-		for _, other := range f.all() {
+		for _, other := range f.allProcesses() {
 			f.Proxy.Reset(gateway.Name, other.Name)
 		}
 	case ResetControl:
-		f.resetControl(ctx, length)
+		f.resetControl(ctx, duration)
 	case KillWorker:
-		f.KillWorker(ctx, fault.Target, length)
+		f.KillWorker(ctx, fault.Target, duration)
 	case HotTenant:
-		f.Heat(ctx, fault.Target, length)
+		f.OverloadTenant(ctx, fault.Target, duration)
 	case LowerLimit:
-		f.Lower(ctx, fault.Target, length)
+		f.LowerLimit(ctx, fault.Target, duration)
 	case ChangeSetting:
-		f.Change(ctx)
+		f.ChangeSetting(ctx)
 	case Reload:
-		for _, p := range f.all() {
+		for _, p := range f.allProcesses() {
 			p.Signal(syscall.SIGHUP)
 		}
-	case DeadlyRequest:
-		f.Deadly(ctx, fault.Target, length)
-	case ForgedBeats:
-		f.Forge(ctx, fault.Target, length)
-	case ShedWorkers:
-		f.Shed(ctx, fault.Target, length)
-	case NeedWorkers:
-		f.Need(ctx, fault.Target, length)
-	case LeaveWorker:
-		f.Leave(ctx, fault.Target, length)
+	case FatalRequest:
+		f.SendFatalRequests(ctx, fault.Target, duration)
+	case ForgedHeartbeats:
+		f.ForgeHeartbeats(ctx, fault.Target, duration)
+	case RejectRequests:
+		f.RejectRequests(ctx, fault.Target, duration)
+	case AdvertiseLimits:
+		f.AdvertiseLimits(ctx, fault.Target, duration)
+	case DrainWorker:
+		f.DrainWorker(ctx, fault.Target, duration)
 	}
 }
 
-// resetEach is the pause between two resets in a series: shorter than what a change takes to be acknowledged.
-const resetEach = 30 * time.Millisecond
+// resetInterval is the time between resets in a series. It is shorter than a settings change takes to be acknowledged.
+const resetInterval = 30 * time.Millisecond
 
-// resetControl resets the connections between control processes again and again.
-func (f *Fleet) resetControl(ctx context.Context, length time.Duration) {
-	for end := time.Now().Add(length); time.Now().Before(end) && Rest(ctx, resetEach); {
+// resetControl repeatedly resets the connections between control processes.
+func (f *Fleet) resetControl(ctx context.Context, duration time.Duration) {
+	for end := time.Now().Add(duration); time.Now().Before(end) && Sleep(ctx, resetInterval); {
 		for i, one := range f.Control {
 			for _, other := range f.Control[:i] {
 				f.Proxy.Reset(one.Name, other.Name)
@@ -128,9 +129,11 @@
 	}
 }
 
-func (f *Fleet) all() []*Process { return append(append([]*Process{}, f.Control...), f.Gateways...) }
+func (f *Fleet) allProcesses() []*Process {
+	return append(append([]*Process{}, f.Control...), f.Gateways...)
+}
 
-// linksOf returns the links from a process to others, and back where both is set.
+// linksOf returns the links from a process to others, and the reverse links if both is set.
 func (f *Fleet) linksOf(p *Process, others []*Process, both bool) []Link {
 	var links []Link
 	for _, other := range others {
@@ -145,40 +148,40 @@
 	return links
 }
 
-// down ends processes for a time. One that is down already starts with the first fault that heals.
-func (f *Fleet) down(ctx context.Context, length time.Duration, signal syscall.Signal, processes ...*Process) {
-	var ends sync.WaitGroup
+// stopFor stops processes for a time. With overlapping faults, a process restarts when the first of them heals.
+func (f *Fleet) stopFor(ctx context.Context, duration time.Duration, signal syscall.Signal, processes ...*Process) {
+	var stops sync.WaitGroup
 	for _, p := range processes {
-		ends.Go(func() { p.End(signal) })
+		stops.Go(func() { p.Stop(signal) })
 	}
-	ends.Wait()
-	Rest(ctx, length)
+	stops.Wait()
+	Sleep(ctx, duration)
 	for _, p := range processes {
-		_ = p.Start() // one that cannot start serves nobody, which the promises show
+		_ = p.Start() // a failed start shows up as violations
 	}
 }
 
-func (f *Fleet) pause(ctx context.Context, length time.Duration, p *Process) {
+func (f *Fleet) pause(ctx context.Context, duration time.Duration, p *Process) {
 	p.Signal(syscall.SIGSTOP)
-	Rest(ctx, length)
+	Sleep(ctx, duration)
 	p.Signal(syscall.SIGCONT)
 }
 
-func (f *Fleet) silence(ctx context.Context, length time.Duration, links []Link) {
+func (f *Fleet) block(ctx context.Context, duration time.Duration, links []Link) {
 	for _, link := range links {
-		f.Proxy.Silence(link)
+		f.Proxy.Block(link)
 	}
-	Rest(ctx, length)
+	Sleep(ctx, duration)
 	for _, link := range links {
-		f.Proxy.Heal(link)
+		f.Proxy.Unblock(link)
 	}
 }
 
-func (f *Fleet) delay(ctx context.Context, length time.Duration, links []Link) {
+func (f *Fleet) delay(ctx context.Context, duration time.Duration, links []Link) {
 	for _, link := range links {
-		f.Proxy.Delay(link, delayed)
+		f.Proxy.Delay(link, linkDelay)
 	}
-	Rest(ctx, length)
+	Sleep(ctx, duration)
 	for _, link := range links {
 		f.Proxy.Delay(link, 0)
 	}
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -3,126 +3,135 @@
 import "time"
 
 const (
-	// restMost is how many requests may still reach a back end in its rest from a process that was seen to have heard of it.
-	restMost = 2
-	// leaveFree is how long after it was seen to have heard that a back end leaves a process may still take requests that go there.
-	leaveFree = 500 * time.Millisecond
+	// maxBackoffRequests is how many requests a process may still send to a back end during a backoff that it is known
+	// to have received.
+	maxBackoffRequests = 2
+	// drainPropagationDelay is the time after a process learns that a back end is draining during which its requests
+	// are not counted.
+	drainPropagationDelay = 500 * time.Millisecond
 )
 
-// Sender is one life of a process that passes requests on.
+// Sender is one incarnation of a process that forwards requests.
 type Sender struct {
-	Name    string
-	Process int // its number; another life has another one
+	Name        string
+	Incarnation int // number that differs between incarnations
 }
 
-// sent is a request that a caller sent to a process.
-type sent struct {
-	by Sender
-	at time.Duration
+// sentRequest is when a caller sent a request, and to which process.
+type sentRequest struct {
+	sender Sender
+	at     time.Duration
 }
 
-// word is what one life of a back end said of itself in one answer.
-type word struct {
-	life    string
-	until   time.Duration // end of the rest that it asked for
-	leaving bool
-	need    *inNeed       // in which it names a limit, or nil
-	shown   time.Duration // when it was seen that the process had heard of it; 0 not yet
-	got     int           // requests that came in the rest although they were sent after that
+// signal is what one incarnation of a back end stated about itself in one response.
+type signal struct {
+	incarnation  string
+	backoffUntil time.Duration // end of the requested backoff
+	draining     bool
+	limit        *advertisedLimit // advertised rate limit, or nil
+	confirmedAt  time.Duration    // when the process was first known to have received the response; 0 if it isn't yet
+	received     int              // requests sent after confirmedAt that arrived during the backoff
 }
 
-// said is what back ends said of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
-// and whoever reads it changes no verdict, since only what a caller sent after the process had shown that it knows counts.
-type said struct {
-	sent  map[string]sent    // by request
-	words map[Sender][]*word // by who heard them
-	open  map[string][]*word // by request: words in its answers that the process hasn't shown yet to have heard
-	needs map[string]*inNeed // by life, the newest
+// signalLog holds what back ends stated about themselves and which processes received it. Only requests that a caller
+// sent after the receiving process was known to have read the response are checked, so scheduling delays on a slow
+// machine cause no violations.
+type signalLog struct {
+	sent        map[string]sentRequest      // by request ID
+	byReceiver  map[Sender][]*signal        // by the process that received the response
+	unconfirmed map[string][]*signal        // by request ID: signals that the process is not yet known to have received
+	limits      map[string]*advertisedLimit // by incarnation; the newest only
 }
 
-func newSaid() said {
-	return said{sent: map[string]sent{}, words: map[Sender][]*word{}, open: map[string][]*word{}, needs: map[string]*inNeed{}}
+func newSignalLog() signalLog {
+	return signalLog{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*signal{}, unconfirmed: map[string][]*signal{}, limits: map[string]*advertisedLimit{}}
 }
 
-// Sent notes that a caller is about to send a request to a process.
-func (w *Watch) Sent(at time.Duration, id string, by Sender) {
+// RecordSent records that a caller is about to send a request to a process.
+func (w *Watcher) RecordSent(at time.Duration, id string, sender Sender) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.said.sent[id] = sent{by, at}
+	w.signals.sent[id] = sentRequest{sender, at}
 }
 
-// AskedRest notes that a life of a back end answered a request with the wish for rest.
-func (w *Watch) AskedRest(at time.Duration, id, life string, rest time.Duration) {
-	w.say(id, &word{life: life, until: at + rest})
+// RecordBackoff records that an incarnation of a back end asked for a backoff in its response to a request.
+func (w *Watcher) RecordBackoff(at time.Duration, id, incarnation string, backoff time.Duration) {
+	w.addSignal(id, &signal{incarnation: incarnation, backoffUntil: at + backoff})
 }
 
-// SaidLeaving notes that a life of a back end said in its answer to a request that it leaves.
-func (w *Watch) SaidLeaving(id, life string) { w.say(id, &word{life: life, leaving: true}) }
+// RecordDraining records that an incarnation of a back end announced in its response to a request that it is draining.
+func (w *Watcher) RecordDraining(id, incarnation string) {
+	w.addSignal(id, &signal{incarnation: incarnation, draining: true})
+}
 
-func (w *Watch) say(id string, told *word) {
+// addSignal records a signal in a response to a request. It ignores requests that RecordSent did not record.
+func (w *Watcher) addSignal(id string, s *signal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	request, known := w.said.sent[id]
+	request, known := w.signals.sent[id]
 	if !known {
 		return
 	}
-	if told.need == nil {
-		w.said.words[request.by] = append(w.said.words[request.by], told)
+	if s.limit == nil {
+		w.signals.byReceiver[request.sender] = append(w.signals.byReceiver[request.sender], s)
 	}
-	w.said.open[id] = append(w.said.open[id], told)
+	w.signals.unconfirmed[id] = append(w.signals.unconfirmed[id], s)
 }
 
-// Shown notes that a caller has the head of its answer, so that the process has read all answers that it got to the request before.
-func (w *Watch) Shown(at time.Duration, id string) {
+// RecordResponseHead records that a caller received the response head of a request. The process it was sent to has then
+// read all back-end responses to earlier attempts.
+func (w *Watcher) RecordResponseHead(at time.Duration, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.show(at, id, "")
+	w.confirm(at, id, "")
 }
 
-// show ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
-func (w *Watch) show(at time.Duration, id, except string) {
-	var left []*word
-	for _, told := range w.said.open[id] {
-		if told.life == except {
-			left = append(left, told)
+// confirm marks the signals in responses to a request as received by the process, except those of one incarnation. The
+// caller holds mu.
+func (w *Watcher) confirm(at time.Duration, id, exceptIncarnation string) {
+	var remaining []*signal
+	for _, s := range w.signals.unconfirmed[id] {
+		if s.incarnation == exceptIncarnation {
+			remaining = append(remaining, s)
 			continue
 		}
-		told.shown = at
-		if told.need == nil {
+		s.confirmedAt = at
+		if s.limit == nil {
 			continue
 		}
-		if by := w.said.sent[id].by; told.need.heard[by] == 0 {
-			told.need.heard[by] = at
+		if sender := w.signals.sent[id].sender; s.limit.observedAt[sender] == 0 {
+			s.limit.observedAt[sender] = at
 		}
 	}
-	if left == nil {
-		delete(w.said.open, id)
+	if remaining == nil {
+		delete(w.signals.unconfirmed, id)
 		return
 	}
-	w.said.open[id] = left
+	w.signals.unconfirmed[id] = remaining
 }
 
-// Reached notes that a request came to a life of a back end.
-func (w *Watch) Reached(at time.Duration, id, life string) {
+// RecordArrival records that a request reached an incarnation of a back end and checks it against the signals that the
+// process had received. Responses of other incarnations to the same request must have been read before.
+func (w *Watcher) RecordArrival(at time.Duration, id, incarnation string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	request, known := w.said.sent[id]
+	request, known := w.signals.sent[id]
 	if !known {
 		return
 	}
-	w.show(at, id, life)
-	w.reachedInNeed(at, request, life)
-	for _, told := range w.said.words[request.by] {
-		if told.life != life || told.shown == 0 || request.at <= told.shown {
+	w.confirm(at, id, incarnation)
+	w.checkAdvertisedLimit(at, request, incarnation)
+	for _, s := range w.signals.byReceiver[request.sender] {
+		if s.incarnation != incarnation || s.confirmedAt == 0 || request.at <= s.confirmedAt {
 			continue
 		}
-		if at < told.until {
-			if told.got++; told.got == restMost+1 {
-				w.fail(RestGiven, "%s got more than %d requests from %s in a rest that ends %v later", life, restMost, request.by.Name, told.until-at)
+		if at < s.backoffUntil {
+			if s.received++; s.received == maxBackoffRequests+1 {
+				w.addViolation(BackoffRespected, "%s received more than %d requests from %s during a backoff that ends in %v", incarnation, maxBackoffRequests, request.sender.Name, s.backoffUntil-at)
 			}
 		}
-		if told.leaving && request.at > told.shown+leaveFree {
-			w.fail(LeaveHeard, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", life, request.by.Name, request.at-told.shown)
+		if s.draining && request.at > s.confirmedAt+drainPropagationDelay {
+			w.addViolation(DrainRespected, "%s received a request from %s that was sent %v after the process had learned that the back end is draining", incarnation, request.sender.Name, request.at-s.confirmedAt)
 		}
 	}
 }
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -22,27 +22,27 @@
 )
 
 const (
-	jobRing       = 4096 // tokens that may wait for a slow router before the job is cancelled
-	idleAdvance   = 50 * time.Millisecond
-	busyAdvice    = 200 * time.Millisecond
-	kvTimeout     = time.Second
-	fetchTimeout  = 30 * time.Second
-	unlimitedLoad = time.Hour // the weight store decides when a load ends
+	outputQueueSize    = 4096 // outputs buffered for a slow router before the job is cancelled
+	maxAdvanceInterval = 50 * time.Millisecond
+	busyRetryDelay     = 200 * time.Millisecond // also bounds the query of an import source
+	vaultTimeout       = time.Second
+	fetchTimeout       = 30 * time.Second
+	maxLoadTime        = time.Hour // the reply of the weight store ends a load earlier
 )
 
-// EngineConfig is what an engine process needs to start.
+// EngineConfig configures an engine process.
 type EngineConfig struct {
 	Name        string
 	Zone        string
 	Service     string
 	Listen      string
-	Weights     string // loaded at the start
+	Weights     string // version loaded at startup
 	WeightStore string
 	BlockTokens int
 	Rates       engine.Rates
 }
 
-// Engine is a model engine process.
+// Engine serves a simulated model engine over HTTP in real time.
 type Engine struct {
 	config EngineConfig
 	log    *zap.Logger
@@ -54,8 +54,8 @@
 	model *engine.Model
 }
 
-// jobState joins a job of the model to the response that streams it.
-type jobState struct {
+// jobStream passes the outputs of a job to the HTTP response that streams them.
+type jobStream struct {
 	outputs chan engine.Output
 }
 
@@ -67,13 +67,13 @@
 		client: transport.NewClient("", nil),
 		model:  engine.New(config.Name, incarnation, config.Weights, config.Rates, config.BlockTokens, incarnation, guard.Set{}),
 	}
-	e.model.Import = e.importFrom
+	e.model.Import = e.importablePrefix
 	return e
 }
 
 func (e *Engine) now() time.Duration { return time.Since(e.start) }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is done.
 func (e *Engine) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+api.PathGenerate, e.serveGenerate)
@@ -81,13 +81,13 @@
 	mux.HandleFunc("GET "+api.PathCache, e.serveCache)
 	mux.HandleFunc("POST "+api.PathOrders, e.serveOrder)
 	mux.HandleFunc("POST "+api.PathKVMatch, e.serveMatch)
-	mux.HandleFunc("POST /v1/leave", e.serveLeave)
-	go e.advance(ctx)
+	mux.HandleFunc("POST /v1/leave", e.serveDrain)
+	go e.runModel(ctx)
 	return serve(ctx, e.config.Listen, mux, e.log)
 }
 
-// advance is the thread that runs the model in real time.
-func (e *Engine) advance(ctx context.Context) {
+// runModel advances the model in real time until ctx is done.
+func (e *Engine) runModel(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -97,29 +97,30 @@
 		case <-e.wake:
 		case <-timer.C:
 		}
-		timer.Reset(e.step())
+		timer.Reset(e.advanceModel())
 	}
 }
 
-func (e *Engine) step() time.Duration {
+// advanceModel advances the model to the current time, passes its outputs on, and returns the time to the next call.
+func (e *Engine) advanceModel() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, output := range e.model.Advance(e.now()) {
-		state := output.Job.UserData.(*jobState)
+		stream := output.Job.UserData.(*jobStream)
 		select {
-		case state.outputs <- output:
+		case stream.outputs <- output:
 		default:
 			e.model.Cancel(output.Job.Origin, output.Job.Attempt)
 		}
 	}
-	due, any := e.model.NextDue()
-	if !any {
-		return idleAdvance
+	wakeup, scheduled := e.model.NextWakeup()
+	if !scheduled {
+		return maxAdvanceInterval
 	}
-	return max(0, min(due-e.now(), idleAdvance))
+	return max(0, min(wakeup-e.now(), maxAdvanceInterval))
 }
 
-func (e *Engine) nudge() {
+func (e *Engine) wakeModel() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -131,45 +132,45 @@
 	if !readJSON(w, r, &request) {
 		return
 	}
-	state := &jobState{outputs: make(chan engine.Output, jobRing)}
+	stream := &jobStream{outputs: make(chan engine.Output, outputQueueSize)}
 	job := &engine.Job{
 		Attempt: request.Attempt, Origin: request.Router, Tenant: request.Tenant, Blocks: request.Blocks,
 		PromptTokens: request.PromptTokens, MaxTokens: request.MaxTokens, ResumeFrom: request.ResumeFrom,
-		Lane: request.Lane, Incarnation: request.Incarnation, Weights: request.Weights, RelyTokens: request.ExpectedCachedTokens,
-		ImportFrom: request.ImportFrom, ImportBlocks: request.ImportBlocks, UserData: state,
+		Lane: request.Lane, Incarnation: request.Incarnation, Weights: request.Weights, ExpectedCachedTokens: request.ExpectedCachedTokens,
+		ImportFrom: request.ImportFrom, ImportBlocks: request.ImportBlocks, UserData: stream,
 	}
 	e.mutex.Lock()
 	result := e.model.Submit(e.now(), job)
 	incarnation := e.model.Incarnation
 	e.mutex.Unlock()
-	if refusal, refused := refusalOf(result); refused {
-		refusal.Incarnation = incarnation
-		writeJSON(w, http.StatusServiceUnavailable, refusal)
+	if rejection, rejected := rejectionOf(result); rejected {
+		rejection.Incarnation = incarnation
+		writeJSON(w, http.StatusServiceUnavailable, rejection)
 		return
 	}
-	e.nudge()
-	e.stream(w, r, request, job, result == engine.TakenWithoutReuse, incarnation)
+	e.wakeModel()
+	e.stream(w, r, request, job, result == engine.AcceptedWithoutReuse, incarnation)
 }
 
-// refusalOf returns the answer to a job that was not taken.
-func refusalOf(result engine.SubmitResult) (api.BackendRejection, bool) {
-	refusal := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyAdvice.Milliseconds()}
+// rejectionOf returns the response to a job that was rejected; the flag is false if it was accepted.
+func rejectionOf(result engine.SubmitResult) (api.BackendRejection, bool) {
+	rejection := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyRetryDelay.Milliseconds()}
 	switch result {
-	case engine.RefusedLeaving:
-		refusal.Draining = true
-		return refusal, true
-	case engine.RefusedBusy, engine.RefusedLoading:
-		return refusal, true
+	case engine.RejectedDraining:
+		rejection.Draining = true
+		return rejection, true
+	case engine.RejectedQueueFull, engine.RejectedLoading:
+		return rejection, true
 	}
-	return refusal, false
+	return rejection, false
 }
 
-// stream writes a job's outputs as server-sent events; a closed connection cancels the job.
+// stream writes the outputs of a job as server-sent events. It cancels the job when the client disconnects.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, request api.GenerateRequest, job *engine.Job, noReuse bool, incarnation uint64) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(w)
 	digest := xxhash.Sum64String(request.Prompt)
-	outputs := job.UserData.(*jobState).outputs
+	outputs := job.UserData.(*jobStream).outputs
 	for {
 		select {
 		case <-r.Context().Done():
@@ -178,16 +179,16 @@
 			e.mutex.Unlock()
 			return
 		case output := <-outputs:
-			event := e.eventOf(output, request, digest)
+			event := e.toEvent(output, request, digest)
 			if output.Kind == engine.OutputStarted {
 				event.Incarnation, event.NoReuse = incarnation, noReuse
 			}
-			data, _ := json.Marshal(event) // plain struct, cannot fail
+			data, _ := json.Marshal(event) // cannot fail: plain struct
 			if _, err := fmt.Fprintf(w, "data: %s\n\n", data); err != nil {
-				continue // the context ends soon
+				continue // the request context is cancelled shortly
 			}
 			if len(outputs) == 0 {
-				_ = controller.Flush() // a broken connection shows in the context
+				_ = controller.Flush() // a broken connection cancels the request context
 			}
 			if output.Kind == engine.OutputDone {
 				return
@@ -196,7 +197,7 @@
 	}
 }
 
-func (e *Engine) eventOf(output engine.Output, request api.GenerateRequest, digest uint64) api.GenerateEvent {
+func (e *Engine) toEvent(output engine.Output, request api.GenerateRequest, digest uint64) api.GenerateEvent {
 	event := api.GenerateEvent{Attempt: request.Attempt, Index: output.Index}
 	switch output.Kind {
 	case engine.OutputStarted:
@@ -205,17 +206,17 @@
 		event.Kind, event.Text = api.GenerateToken, TokenText(digest, request.Seed, output.Index)
 	case engine.OutputDone:
 		event.Kind = api.GenerateDone
-		event.StoredBlocks = e.keep(request)
+		event.StoredBlocks = e.storeInVault(request)
 	}
 	return event
 }
 
-// keep stores the asked-for prefix in the vault.
-func (e *Engine) keep(request api.GenerateRequest) int {
+// storeInVault stores the requested number of blocks in the vault and returns how many it holds.
+func (e *Engine) storeInVault(request api.GenerateRequest) int {
 	if request.VaultBlocks == 0 || request.Vault == "" {
 		return 0
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), kvTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), vaultTimeout)
 	defer cancel()
 	blocks := request.Blocks[:min(request.VaultBlocks, len(request.Blocks))]
 	var reply api.KVReply
@@ -225,10 +226,10 @@
 	return reply.CachedBlocks
 }
 
-// importFrom asks another engine or the vault how much of a chain it can give. It is called with the mutex
-// held, so it is bounded tightly.
-func (e *Engine) importFrom(source string, chain []prefix.Hash) int {
-	ctx, cancel := context.WithTimeout(context.Background(), busyAdvice)
+// importablePrefix asks another engine or the vault how many leading blocks of a chain it can provide. It runs with the
+// mutex locked, hence the short timeout.
+func (e *Engine) importablePrefix(source string, chain []prefix.Hash) int {
+	ctx, cancel := context.WithTimeout(context.Background(), busyRetryDelay)
 	defer cancel()
 	var reply api.KVReply
 	if err := e.client.Post(ctx, source, api.PathKVMatch, api.KVRequest{Blocks: chain}, &reply); err != nil {
@@ -238,7 +239,7 @@
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // missing means from the start
+	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // 0, the first event, if missing
 	e.mutex.Lock()
 	report := e.model.Report(e.now(), after)
 	fence := e.model.Fence()
@@ -265,52 +266,53 @@
 	if !readJSON(w, r, &request) {
 		return
 	}
-	if !e.mutex.TryLock() { // two engines that copy from each other must not wait for each other
+	if !e.mutex.TryLock() { // avoids deadlock between two engines that import from each other
 		writeJSON(w, http.StatusOK, api.KVReply{})
 		return
 	}
-	held := e.model.Export(e.now(), request.Blocks)
+	cached := e.model.ExportablePrefix(e.now(), request.Blocks)
 	e.mutex.Unlock()
-	writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: held})
+	writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: cached})
 }
 
-func (e *Engine) serveLeave(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveDrain(w http.ResponseWriter, _ *http.Request) {
 	e.mutex.Lock()
-	e.model.SetLeaving(true)
+	e.model.SetDraining(true)
 	e.mutex.Unlock()
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveOrder takes a fenced order. Weights come from the rate-limited store.
+// serveOrder handles a fenced call. If it starts a load, the weights are fetched from the weight store in the
+// background.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var call control.EngineCall
 	if !readJSON(w, r, &call) {
 		return
 	}
 	e.mutex.Lock()
-	loadingBefore := e.model.Loading()
-	accepted := e.model.Order(e.now(), call, unlimitedLoad)
-	begins := !loadingBefore && e.model.Loading()
+	wasLoading := e.model.Loading()
+	accepted := e.model.HandleCall(e.now(), call, maxLoadTime)
+	loadStarted := !wasLoading && e.model.Loading()
 	fence := e.model.Fence()
 	e.mutex.Unlock()
-	if begins {
-		go e.load(call.Order.Weights)
+	if loadStarted {
+		go e.loadWeights(call.Order.Weights)
 	}
 	writeJSON(w, http.StatusOK, api.OrderReply{Accepted: accepted, Fence: fence})
 }
 
-func (e *Engine) load(weights string) {
+func (e *Engine) loadWeights(weights string) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	err := e.client.Post(ctx, e.config.WeightStore, api.PathFetch, api.FetchRequest{Engine: e.config.Name, Weights: weights}, nil)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if err != nil {
-		e.log.Warn("weights not fetched; the old ones stay", zap.String("weights", weights), zap.Error(err))
-		e.model.FailLoad()
+		e.log.Warn("fetching weights failed; keeping the current version", zap.String("weights", weights), zap.Error(err))
+		e.model.AbortLoad()
 		return
 	}
 	e.model.CompleteLoad(e.now())
-	e.nudge()
+	e.wakeModel()
 	e.log.Info("weights loaded", zap.String("weights", weights))
 }
--- a/internal/lab/traffic/traffic.go
+++ b/internal/lab/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic makes the two users' requests: long prompts with deeply nested shared prefixes, quick
-// questions, a few very hot templates, and shifts of what is hot.
+// Package traffic generates prompts for load tests: long documents with nested shared prefixes, short questions, and
+// templates whose popularity is skewed and shifts over time.
 package traffic
 
 import (
@@ -14,7 +14,7 @@
 	"kitetiller/internal/prefix"
 )
 
-// Prompt is one request of the model service.
+// Prompt is a request to the model service.
 type Prompt struct {
 	At        time.Duration
 	Zone      string
@@ -24,34 +24,34 @@
 	MaxTokens int
 }
 
-// Generator makes a fixed sequence of prompts from a seed.
+// Generator produces a deterministic sequence of prompts from a seed.
 type Generator struct {
 	deployment *plan.Deployment
 	random     *rand.Rand
 	now        time.Duration
 	rate       float64
 	tenants    []tenant
-	shift      int // raised at each shift: other templates become hot
+	hotShifts  int // number of shifts of the hot templates so far
 	followUps  []followUp
 	documents  int
-	day        time.Duration // length of a day when demand follows the sun; 0 is none
+	dayLength  time.Duration // period of the daily demand cycle; 0 disables it
 }
 
-// tenant is the state of one tenant's callers.
+// tenant is the state of one tenant's traffic.
 type tenant struct {
-	name     string
-	zone     string
-	share    float64
-	preamble string
-	texts    map[int]string // template texts
+	name          string
+	zone          string
+	share         float64
+	preamble      string
+	templateTexts map[int]string // by template number
 }
 
-// followUp is a later question about a document that was asked about before.
+// followUp is a scheduled further question about a document.
 type followUp struct {
-	at     time.Duration
-	prompt Prompt
-	prefix string
-	left   int
+	at        time.Duration
+	prompt    Prompt
+	prefix    string
+	remaining int
 }
 
 // New returns a generator. scale multiplies the deployment's request rate.
@@ -60,18 +60,19 @@
 		deployment: deployment, random: rand.New(rand.NewPCG(seed, 7)),
 		rate: deployment.Traffic.RequestsPerSecond * scale,
 	}
-	for i, listed := range deployment.Tenants {
+	for i, spec := range deployment.Tenants {
 		g.tenants = append(g.tenants, tenant{
-			name: listed.Name, share: listed.Share, zone: deployment.Zones[i%len(deployment.Zones)],
-			preamble: filler(fmt.Sprintf("preamble of %s", listed.Name), deployment.Traffic.PreambleTokens),
-			texts:    map[int]string{},
+			name: spec.Name, share: spec.Share, zone: deployment.Zones[i%len(deployment.Zones)],
+			preamble:      fillerText(fmt.Sprintf("preamble of %s", spec.Name), deployment.Traffic.PreambleTokens),
+			templateTexts: map[int]string{},
 		})
 	}
 	return g
 }
 
-// filler returns text of a length in tokens that is unlike any other text with another label.
-func filler(label string, tokens int) string {
+// fillerText returns text of the given length in tokens. Texts with different labels differ within the first
+// line.
+func fillerText(label string, tokens int) string {
 	size := tokens * prefix.BytesPerToken
 	var text strings.Builder
 	for line := 0; text.Len() < size; line++ {
@@ -80,102 +81,102 @@
 	return text.String()[:size]
 }
 
-// Shift makes other templates hot, as at the start of transcript season or a shift change.
-func (g *Generator) Shift() { g.shift++ }
+// ShiftHotTemplates replaces all templates by new ones, as at the start of a season or a change of shift.
+func (g *Generator) ShiftHotTemplates() { g.hotShifts++ }
 
-// FollowSun makes demand move from zone to zone once in a day of the given length: a zone has its whole demand at
+// FollowSun enables a daily demand cycle of the given length, shifted from zone to zone: a zone has its full demand at
 // noon and none at midnight.
-func (g *Generator) FollowSun(day time.Duration) { g.day = day }
+func (g *Generator) FollowSun(day time.Duration) { g.dayLength = day }
 
-// daylight is the share of a zone's demand at the present time.
-func (g *Generator) daylight(zone string) float64 {
-	if g.day == 0 {
+// demandFactor returns the fraction of a zone's full demand at the current time.
+func (g *Generator) demandFactor(zone string) float64 {
+	if g.dayLength == 0 {
 		return 1
 	}
-	at := slices.Index(g.deployment.Zones, zone)
-	turn := g.now.Seconds()/g.day.Seconds() + float64(at)/float64(len(g.deployment.Zones))
-	return (1 - math.Cos(2*math.Pi*turn)) / 2
+	zoneIndex := slices.Index(g.deployment.Zones, zone)
+	dayFraction := g.now.Seconds()/g.dayLength.Seconds() + float64(zoneIndex)/float64(len(g.deployment.Zones))
+	return (1 - math.Cos(2*math.Pi*dayFraction)) / 2
 }
 
 // Next returns the next prompt in order of time.
 func (g *Generator) Next() Prompt {
-	gap := time.Duration(g.random.ExpFloat64() / g.firstRate() * float64(time.Second))
+	gap := time.Duration(g.random.ExpFloat64() / g.initialRequestRate() * float64(time.Second))
 	next := g.now + gap
-	if due, found := g.dueFollowUp(next); found {
+	if due, found := g.takeDueFollowUp(next); found {
 		g.now = max(g.now, due.At)
 		return due
 	}
 	g.now = next
-	return g.fresh()
+	return g.initialPrompt()
 }
 
-// firstRate is the rate of requests that are not follow-ups, so that the total is the wanted rate.
-func (g *Generator) firstRate() float64 {
+// initialRequestRate returns the rate of requests other than follow-ups at which the total rate is the configured one.
+func (g *Generator) initialRequestRate() float64 {
 	traffic := g.deployment.Traffic
-	perFirst := 1 + (1-traffic.ShortShare)*float64(max(0, traffic.QuestionsPerDoc-1))
-	return g.rate / perFirst
+	requestsPerInitial := 1 + (1-traffic.ShortShare)*float64(max(0, traffic.QuestionsPerDoc-1))
+	return g.rate / requestsPerInitial
 }
 
-func (g *Generator) dueFollowUp(by time.Duration) (Prompt, bool) {
-	best := -1
+func (g *Generator) takeDueFollowUp(by time.Duration) (Prompt, bool) {
+	earliest := -1
 	for i := range g.followUps {
-		if g.followUps[i].at <= by && (best < 0 || g.followUps[i].at < g.followUps[best].at) {
-			best = i
+		if g.followUps[i].at <= by && (earliest < 0 || g.followUps[i].at < g.followUps[earliest].at) {
+			earliest = i
 		}
 	}
-	if best < 0 {
+	if earliest < 0 {
 		return Prompt{}, false
 	}
-	due := g.followUps[best]
-	g.followUps[best] = g.followUps[len(g.followUps)-1]
+	due := g.followUps[earliest]
+	g.followUps[earliest] = g.followUps[len(g.followUps)-1]
 	g.followUps = g.followUps[:len(g.followUps)-1]
 	prompt := due.prompt
 	prompt.At = due.at
-	prompt.Text = due.prefix + g.question(g.deployment.Traffic.QuestionTokens)
-	g.plan(due.prompt, due.prefix, due.at, due.left-1)
+	prompt.Text = due.prefix + g.questionText(g.deployment.Traffic.QuestionTokens)
+	g.scheduleFollowUp(due.prompt, due.prefix, due.at, due.remaining-1)
 	return prompt, true
 }
 
-// plan schedules the next question about a document.
-func (g *Generator) plan(prompt Prompt, documentPrefix string, after time.Duration, left int) {
-	if left <= 0 {
+// scheduleFollowUp schedules the next question about a document, unless none remain.
+func (g *Generator) scheduleFollowUp(prompt Prompt, documentPrefix string, after time.Duration, remaining int) {
+	if remaining <= 0 {
 		return
 	}
 	gap := time.Duration((0.5 + g.random.Float64()) * float64(g.deployment.Traffic.QuestionGap))
-	g.followUps = append(g.followUps, followUp{at: after + gap, prompt: prompt, prefix: documentPrefix, left: left})
+	g.followUps = append(g.followUps, followUp{at: after + gap, prompt: prompt, prefix: documentPrefix, remaining: remaining})
 }
 
-func (g *Generator) question(tokens int) string {
-	return filler(fmt.Sprintf("question %x", g.random.Uint64()), tokens)
+func (g *Generator) questionText(tokens int) string {
+	return fillerText(fmt.Sprintf("question %x", g.random.Uint64()), tokens)
 }
 
-func (g *Generator) fresh() Prompt {
+func (g *Generator) initialPrompt() Prompt {
 	traffic := g.deployment.Traffic
-	owner := g.pickTenant()
-	prompt := Prompt{At: g.now, Zone: owner.zone, Tenant: owner.name, MaxTokens: g.around(traffic.LongAnswerTokens)}
-	base := owner.preamble + owner.template(g.pickTemplate(), traffic.TemplateTokens)
+	caller := g.pickTenant()
+	prompt := Prompt{At: g.now, Zone: caller.zone, Tenant: caller.name, MaxTokens: g.jittered(traffic.LongAnswerTokens)}
+	base := caller.preamble + caller.templateText(g.pickTemplate(), traffic.TemplateTokens)
 	if g.random.Float64() < traffic.ShortShare {
-		prompt.Short, prompt.MaxTokens = true, g.around(traffic.ShortAnswerTokens)
-		prompt.Text = base + g.question(traffic.ShortTokens)
+		prompt.Short, prompt.MaxTokens = true, g.jittered(traffic.ShortAnswerTokens)
+		prompt.Text = base + g.questionText(traffic.ShortTokens)
 		return prompt
 	}
 	g.documents++
-	document := base + filler(fmt.Sprintf("document %d of %s", g.documents, owner.name), g.around(traffic.DocumentTokens))
-	prompt.Text = document + g.question(traffic.QuestionTokens)
-	g.plan(prompt, document, g.now, g.around(traffic.QuestionsPerDoc)-1)
+	document := base + fillerText(fmt.Sprintf("document %d of %s", g.documents, caller.name), g.jittered(traffic.DocumentTokens))
+	prompt.Text = document + g.questionText(traffic.QuestionTokens)
+	g.scheduleFollowUp(prompt, document, g.now, g.jittered(traffic.QuestionsPerDoc)-1)
 	return prompt
 }
 
-// around returns a number between half and one and a half times the mean.
-func (g *Generator) around(mean int) int {
+// jittered returns a random number from half to one and a half times the mean, at least 1.
+func (g *Generator) jittered(mean int) int {
 	return max(1, mean/2+g.random.IntN(max(1, mean)))
 }
 
-func (t *tenant) template(number, tokens int) string {
-	text, made := t.texts[number]
-	if !made {
-		text = filler(fmt.Sprintf("template %d of %s", number, t.name), tokens)
-		t.texts[number] = text
+func (t *tenant) templateText(number, tokens int) string {
+	text, cached := t.templateTexts[number]
+	if !cached {
+		text = fillerText(fmt.Sprintf("template %d of %s", number, t.name), tokens)
+		t.templateTexts[number] = text
 	}
 	return text
 }
@@ -183,29 +184,29 @@
 func (g *Generator) pickTenant() *tenant {
 	total := 0.0
 	for i := range g.tenants {
-		total += g.tenants[i].share * g.daylight(g.tenants[i].zone)
+		total += g.tenants[i].share * g.demandFactor(g.tenants[i].zone)
 	}
-	at := g.random.Float64() * total
+	draw := g.random.Float64() * total
 	for i := range g.tenants {
-		if at -= g.tenants[i].share * g.daylight(g.tenants[i].zone); at < 0 {
+		if draw -= g.tenants[i].share * g.demandFactor(g.tenants[i].zone); draw < 0 {
 			return &g.tenants[i]
 		}
 	}
 	return &g.tenants[len(g.tenants)-1]
 }
 
-// pickTemplate draws by Zipf's law; a shift rotates which templates are hot.
+// pickTemplate draws a template number by Zipf's law. Each shift of the hot templates starts a new range of numbers.
 func (g *Generator) pickTemplate() int {
 	count := g.deployment.Traffic.Templates
 	total := 0.0
 	for rank := 1; rank <= count; rank++ {
-		total += math.Pow(float64(rank), -g.deployment.Traffic.HotExponent)
+		total += math.Pow(float64(rank), -g.deployment.Traffic.ZipfExponent)
 	}
-	at := g.random.Float64() * total
+	draw := g.random.Float64() * total
 	for rank := 1; rank <= count; rank++ {
-		if at -= math.Pow(float64(rank), -g.deployment.Traffic.HotExponent); at < 0 {
-			return rank + g.shift*count
+		if draw -= math.Pow(float64(rank), -g.deployment.Traffic.ZipfExponent); draw < 0 {
+			return rank + g.hotShifts*count
 		}
 	}
-	return count + g.shift*count
+	return count + g.hotShifts*count
 }
--- a/internal/lab/window/window_test.go
+++ b/internal/lab/window/window_test.go
@@ -8,31 +8,32 @@
 	"pgregory.net/rapid"
 )
 
-// TestFullestCountsEachWindow: against a count of every window by itself, and against windows that are kept as times come in.
-func TestFullestCountsEachWindow(t *testing.T) {
+// TestMaxCountMatchesCountOfEachWindow compares MaxCount with a separate count of every window and with windows that
+// Add maintains incrementally.
+func TestMaxCountMatchesCountOfEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := rapid.SliceOf(rapid.Custom(func(t *rapid.T) time.Duration {
 			return time.Duration(rapid.IntRange(0, 20).Draw(t, "half seconds")) * time.Second / 2
 		})).Draw(t, "times")
 		slices.Sort(times)
 		from := time.Duration(rapid.IntRange(0, 10).Draw(t, "from")) * time.Second
-		counted, kept := 0, 0
-		var held []time.Duration
+		want, incremental := 0, 0
+		var recent []time.Duration
 		for i, end := range times {
-			held = Add(held, end)
+			recent = Add(recent, end)
 			if end < from {
 				continue
 			}
-			inside := 0
+			count := 0
 			for _, at := range times[:i+1] {
 				if at > end-Length {
-					inside++
+					count++
 				}
 			}
-			counted, kept = max(counted, inside), max(kept, len(held))
+			want, incremental = max(want, count), max(incremental, len(recent))
 		}
-		if got := Fullest(times, from); got != counted || kept != counted {
-			t.Fatalf("%d, kept %d, wanted %d of %v from %v", got, kept, counted, times, from)
+		if got := MaxCount(times, from); got != want || incremental != want {
+			t.Fatalf("MaxCount is %d, incremental count %d, want %d for times %v from %v", got, incremental, want, times, from)
 		}
 	})
 }
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -17,25 +17,25 @@
 	"kitetiller/internal/settings"
 )
 
-// ChangeOptions belong to the commands that change the tree.
+// ChangeOptions are common to the commands that change the settings tree.
 type ChangeOptions struct {
-	Base        int64  // version the change is based on; -1 takes the current one
-	OperationID string // empty draws one
+	Base        int64  // version that the change is based on; -1 for the current one
+	OperationID string // idempotency key of the change; a random one if empty
 	Author      string
-	Wait        bool // until the change is in force everywhere
+	Wait        bool // wait until the change is in force everywhere
 }
 
-// inForceTimeout is how long --wait waits.
+// inForceTimeout bounds how long --wait waits.
 const inForceTimeout = 30 * time.Second
 
-// Get prints the settings of one node, or the effective ones and where they come from.
+// Get prints the settings that are set at a path and below it, or the effective settings of the path and their origins.
 func (c *Command) Get(path string, effective bool) error {
-	read, err := c.readSettings(false)
+	reply, err := c.readSettings(false)
 	if err != nil {
 		return err
 	}
 	if effective {
-		origins := read.Tree.Explain(settings.Path(path).Elements()...)
+		origins := reply.Tree.Explain(settings.Path(path).Elements()...)
 		return c.emit(origins, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "SETTING\tVALUE\tSET AT")
 			for _, origin := range origins {
@@ -43,28 +43,28 @@
 			}
 		})
 	}
-	return c.printTree(read, path)
+	return c.printTree(reply, path)
 }
 
-func (c *Command) printTree(read *control.ReadReply, root string) error {
+func (c *Command) printTree(reply *control.ReadReply, root string) error {
 	type line struct {
 		Path    settings.Path   `json:"path"`
 		Setting string          `json:"setting"`
 		Value   json.RawMessage `json:"value"`
 	}
 	var lines []line
-	for _, path := range read.Tree.Paths() {
+	for _, path := range reply.Tree.Paths() {
 		if root != "/" && path != settings.Path(root) && !strings.HasPrefix(string(path), root+"/") {
 			continue
 		}
 		for _, definition := range settings.Definitions() {
-			if value, set := read.Tree.Nodes[path].Get(definition.Name); set {
+			if value, set := reply.Tree.Nodes[path].Get(definition.Name); set {
 				lines = append(lines, line{path, definition.Name, value})
 			}
 		}
 	}
 	return c.emit(lines, func(w *tabwriter.Writer) {
-		fmt.Fprintf(w, "version %d, in force %d\n", read.Version, read.InForce)
+		fmt.Fprintf(w, "version %d, in force %d\n", reply.Version, reply.InForce)
 		fmt.Fprintln(w, "PATH\tSETTING\tVALUE")
 		for _, item := range lines {
 			fmt.Fprintf(w, "%s\t%s\t%s\n", item.Path, item.Setting, item.Value)
@@ -80,7 +80,7 @@
 	return response.Read, nil
 }
 
-// Set sets one setting; an empty value inherits it again.
+// Set sets one setting; an empty value removes it, so that it is inherited again.
 func (c *Command) Set(path, name, value string, options ChangeOptions) error {
 	raw := json.RawMessage("null")
 	if value != "" {
@@ -89,49 +89,49 @@
 	return c.change([]settings.Edit{{Path: settings.Path(path), Setting: name, Value: raw}}, options)
 }
 
-// jsonValue takes a value as JSON if it is, otherwise as a string.
+// jsonValue returns text itself if it is valid JSON, otherwise text as a JSON string.
 func jsonValue(text string) json.RawMessage {
 	if json.Valid([]byte(text)) {
 		return json.RawMessage(text)
 	}
-	quoted, _ := json.Marshal(text) // a string always can
+	quoted, _ := json.Marshal(text) // cannot fail for a string
 	return quoted
 }
 
-// desiredAndCurrent reads a file's tree and the current one.
+// desiredAndCurrent reads the tree of a file and the current tree.
 func (c *Command) desiredAndCurrent(path string) (settings.Tree, *control.ReadReply, error) {
 	desired, err := ReadTree(path)
 	if err != nil {
 		return desired, nil, err
 	}
-	read, err := c.readSettings(false)
-	return desired, read, err
+	reply, err := c.readSettings(false)
+	return desired, reply, err
 }
 
-// Edit makes the tree equal to a file, in one atomic change.
+// Edit makes the tree equal to that of a file, in one atomic change.
 func (c *Command) Edit(path string, options ChangeOptions) error {
-	desired, read, err := c.desiredAndCurrent(path)
+	desired, reply, err := c.desiredAndCurrent(path)
 	if err != nil {
 		return err
 	}
-	edits := settings.DiffEdits(read.Tree, desired)
+	edits := settings.DiffEdits(reply.Tree, desired)
 	if len(edits) == 0 {
-		c.printf("no difference: version %d already equals %s\n", read.Version, path)
+		c.printf("no difference: version %d already equals %s\n", reply.Version, path)
 		return nil
 	}
 	if options.Base < 0 {
-		options.Base = int64(read.Version)
+		options.Base = int64(reply.Version)
 	}
 	return c.change(edits, options)
 }
 
 // Diff prints what Edit would change.
 func (c *Command) Diff(path string) error {
-	desired, read, err := c.desiredAndCurrent(path)
+	desired, reply, err := c.desiredAndCurrent(path)
 	if err != nil {
 		return err
 	}
-	differences := settings.Diff(read.Tree, desired)
+	differences := settings.Diff(reply.Tree, desired)
 	return c.emit(differences, func(w *tabwriter.Writer) { writeDifferences(w, differences) })
 }
 
@@ -149,7 +149,7 @@
 	return text
 }
 
-// change sends one change and reports its outcome.
+// change submits one change and prints its outcome.
 func (c *Command) change(edits []settings.Edit, options ChangeOptions) error {
 	change, err := c.newChange(edits, options)
 	if err != nil {
@@ -173,7 +173,7 @@
 		_ = writer.Flush()
 		return eris.Errorf("conflict: the change was based on version %d, the tree is at %d; look at what changed and try again", change.Base, outcome.Version)
 	case settings.OutcomeOperationIDReused:
-		return eris.Errorf("operation id %s was used for another change", change.OperationID)
+		return eris.Errorf("operation ID %s was already used for another change", change.OperationID)
 	}
 	for _, problem := range outcome.Problems {
 		c.printf("%s\n", problem)
@@ -181,13 +181,14 @@
 	return eris.Errorf("invalid: %d problems, nothing was changed", len(outcome.Problems))
 }
 
+// newChange fills in the base version and the operation ID if the options leave them open.
 func (c *Command) newChange(edits []settings.Edit, options ChangeOptions) (*settings.Change, error) {
 	if options.Base < 0 {
-		read, err := c.readSettings(false)
+		reply, err := c.readSettings(false)
 		if err != nil {
 			return nil, err
 		}
-		options.Base = int64(read.Version)
+		options.Base = int64(reply.Version)
 	}
 	if options.OperationID == "" {
 		random := make([]byte, 8)
@@ -200,8 +201,8 @@
 func (c *Command) waitInForce(version uint64) error {
 	deadline := time.Now().Add(inForceTimeout)
 	for time.Now().Before(deadline) {
-		read, err := c.readSettings(false)
-		if err == nil && read.InForce >= version {
+		reply, err := c.readSettings(false)
+		if err == nil && reply.InForce >= version {
 			c.printf("in force everywhere: version %d\n", version)
 			return nil
 		}
@@ -210,22 +211,22 @@
 	return eris.Errorf("version %d is accepted but not yet in force everywhere after %s; see kitetiller status", version, inForceTimeout)
 }
 
-// History prints the newest accepted changes.
+// History prints the most recent accepted changes.
 func (c *Command) History() error {
-	read, err := c.readSettings(true)
+	reply, err := c.readSettings(true)
 	if err != nil {
 		return err
 	}
-	return c.emit(read.History, func(w *tabwriter.Writer) {
+	return c.emit(reply.History, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "VERSION\tTIME\tAUTHOR\tOPERATION\tEDITS")
-		for _, entry := range read.History {
+		for _, entry := range reply.History {
 			at := time.UnixMilli(entry.UnixMS).UTC().Format(time.RFC3339)
 			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", entry.Version, at, orDash(entry.Author), entry.OperationID, summarizeEdits(entry.Edits))
 		}
 	})
 }
 
-// maxShownEdits is how many edits of a change the history shows.
+// maxShownEdits is the number of edits that History prints of each change.
 const maxShownEdits = 3
 
 func summarizeEdits(edits []settings.Edit) string {
@@ -240,7 +241,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// ReadTree reads and checks a settings file.
+// ReadTree reads and validates a file with a settings tree.
 func ReadTree(path string) (settings.Tree, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -252,7 +253,7 @@
 		for i, problem := range problems {
 			lines[i] = "  " + problem.String()
 		}
-		return tree, eris.Errorf("%s has %d faults:\n%s", path, len(problems), strings.Join(lines, "\n"))
+		return tree, eris.Errorf("settings file %s has %d problems:\n%s", path, len(problems), strings.Join(lines, "\n"))
 	}
 	return tree, nil
 }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -14,17 +14,17 @@
 	"kitetiller/internal/router"
 )
 
-// probeTimeout bounds the question to one process.
+// probeTimeout bounds a request to one process.
 const probeTimeout = 2 * time.Second
 
-// SystemStatus is what "status" shows.
+// SystemStatus is the output of the status command.
 type SystemStatus struct {
 	Control     []control.StatusReply `json:"control"`
 	Routers     []router.StatusReply  `json:"routers"`
 	Unreachable []string              `json:"silent"` // addresses that did not answer
 }
 
-// Status asks every control replica and router for its view.
+// Status prints the status of every control replica and router, as each reports it.
 func (c *Command) Status() error {
 	status := c.collectStatus()
 	return c.emit(status, func(w *tabwriter.Writer) {
@@ -85,22 +85,23 @@
 	}
 }
 
-// writeLimits shows what is limited over the fleet, as the leader sees it.
+// writeLimits prints the limits that all gateways share, including those that back ends advertise, as the leader sees
+// them.
 func writeLimits(w *tabwriter.Writer, status SystemStatus) {
 	for _, reply := range status.Control {
-		if reply.LeaseHeld && len(reply.Named) > 0 {
+		if reply.LeaseHeld && len(reply.AdvertisedLimits) > 0 {
 			fmt.Fprintln(w, "LIMIT NAMED BY\tA SECOND\tLEFT\tLENT\tREFUSED")
-			for _, limit := range reply.Named {
-				fmt.Fprintf(w, "%s\t%.2f\t%.1f\t%.0f\t%.0f\n", limit.Name, limit.Limit.Rate, limit.Level, limit.Granted, limit.Refused)
+			for _, state := range reply.AdvertisedLimits {
+				fmt.Fprintf(w, "%s\t%.2f\t%.1f\t%.0f\t%.0f\n", state.Name, state.Limit.Rate, state.Level, state.Granted, state.Refused)
 			}
 		}
 		if !reply.LeaseHeld || len(reply.Limits) == 0 {
 			continue
 		}
 		fmt.Fprintln(w, "LIMIT\tRATE\tBURST\tLEFT\tLENT\tREFUSED\tOVER\tKEPT BACK")
-		for _, limit := range reply.Limits {
-			fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%t\t%.2f\n", limit.Name, limit.Limit.Rate, limit.Limit.Burst, limit.Level, limit.Granted, limit.Refused,
-				limit.OverLimit, limit.Withheld)
+		for _, state := range reply.Limits {
+			fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%t\t%.2f\n", state.Name, state.Limit.Rate, state.Limit.Burst, state.Level, state.Granted, state.Refused,
+				state.OverLimit, state.Withheld)
 		}
 	}
 }
@@ -141,21 +142,21 @@
 			}
 		})
 	}
-	return eris.New("no control replica leads; see kitetiller status")
+	return eris.New("no control replica is the leader; see kitetiller status")
 }
 
-// Explain prints the kept decisions about a request, from every router.
+// Explain prints the decisions about a request that the routers still store.
 func (c *Command) Explain(requestID string) error {
 	var found []core.Decision
 	for _, address := range splitList(c.options.Routers) {
 		var decisions []core.Decision
 		if err := c.probe(address, "/admin/v1/explain?request="+url.QueryEscape(requestID), &decisions); err != nil {
-			return eris.Wrapf(err, "ask %s", address)
+			return eris.Wrapf(err, "query %s", address)
 		}
 		found = append(found, decisions...)
 	}
 	if len(found) == 0 {
-		return eris.Errorf("no router remembers request %s; each keeps its newest decisions only", requestID)
+		return eris.Errorf("no router has decisions about request %s; each stores only its most recent ones", requestID)
 	}
 	return c.emit(found, func(w *tabwriter.Writer) {
 		for _, decision := range found {
